--- a/apps/quetzaldaled/daemon.cpp
+++ b/apps/quetzaldaled/daemon.cpp
@@ -42,7 +42,7 @@
     , claims_(makeClaims())
     , gates_(loop_, view_.directory())
     , dispatcher_(loop_, settings_.instanceId_, *links_, gates_)
-    , retries_(RetryLimits{}, loop_.now())
+    , retries_(RetryTokenLimits{}, loop_.now())
     , journal_(journalLimit)
     , entry_({ loop_, view_, dispatcher_, *claims_, digests_, retries_, chooser_, random_, journal_,
                metrics_ },
--- a/apps/quetzaldaled/daemon.h
+++ b/apps/quetzaldaled/daemon.h
@@ -3,7 +3,7 @@
 
 #include "quetzaldaled/daemonsettings.h"
 #include "quetzaldaled/drainsequence.h"
-#include "quetzaldaled/rulesduty.h"
+#include "quetzaldaled/rulesadapter.h"
 #include "qz_core/loop/eventloop.h"
 #include "qz_fleet/qz_fleet.h"
 #include "qz_http/server/httpserver.h"
@@ -53,7 +53,7 @@
     std::unique_ptr<PeerLinks> links_;
     std::unique_ptr<Membership> membership_;
     MembershipDriver membershipDriver_;
-    RulesDuty rules_;
+    RulesAdapter rules_;
     std::unique_ptr<ClaimClient> claims_;
     GateSet gates_;
     GateDispatcher dispatcher_;
--- a/apps/quetzaldaled/rulesduty.cpp
+++ b/apps/quetzaldaled/rulesadapter.cpp
@@ -1,5 +1,5 @@
 // The rules at work in a daemon.
-#include "quetzaldaled/rulesduty.h"
+#include "quetzaldaled/rulesadapter.h"
 
 #include "quetzaldaled/rulesmessages.h"
 #include "qz_core/logging/logger.h"
@@ -28,7 +28,7 @@
 
 } // namespace
 
-RulesDuty::RulesDuty(const Parts &parts, std::string incarnation, Duration inForceLimit)
+RulesAdapter::RulesAdapter(const Parts &parts, std::string incarnation, Duration inForceLimit)
     : parts_(parts)
     , incarnation_(std::move(incarnation))
 {
@@ -65,7 +65,7 @@
     parts_.view_.setInForceTest([this] { return service_->inForce().has_value(); });
 }
 
-void RulesDuty::setMembers(const std::vector<Member> &members)
+void RulesAdapter::setMembers(const std::vector<Member> &members)
 {
     std::vector<VoterId> voters;
     for (const Member &member : members) {
@@ -77,7 +77,7 @@
     service_->setMembers(std::move(voters));
 }
 
-void RulesDuty::setListed(const InstanceListing &listing)
+void RulesAdapter::setListed(const InstanceListing &listing)
 {
     std::set<InstanceId> listed;
     for (const ListedInstance &instance : listing.instances_) {
@@ -86,13 +86,13 @@
     service_->setListed(listed);
 }
 
-void RulesDuty::send(const VoterId &to, MessageKind kind, std::string payload)
+void RulesAdapter::send(const VoterId &to, MessageKind kind, std::string payload)
 {
     // A message that cannot be sent counts as lost; the service asks again.
     (void)parts_.links_.send(instanceOf(to), kind, std::move(payload));
 }
 
-void RulesDuty::takeRequest(const InstanceId &from, std::string_view payload)
+void RulesAdapter::takeRequest(const InstanceId &from, std::string_view payload)
 {
     const auto message = unpackMessage<RulesRequestMessage>(payload);
     if (message.has_error()) {
@@ -104,7 +104,7 @@
     service_->takeRequest(sender, fromMessage(message.value()));
 }
 
-void RulesDuty::takeAnswer(const InstanceId &from, std::string_view payload)
+void RulesAdapter::takeAnswer(const InstanceId &from, std::string_view payload)
 {
     const auto message = unpackMessage<RulesAnswerMessage>(payload);
     if (message.has_error()) {
@@ -119,7 +119,7 @@
     service_->takeAnswer(makeVoterId(from, message.value().senderIncarnation_), answer.value());
 }
 
-void RulesDuty::adopt(const RulesRevision &revision)
+void RulesAdapter::adopt(const RulesRevision &revision)
 {
     const RulesVersion version = revision.head_.stamp_.version_;
     parts_.view_.adoptRules(version, revision.rules_);
@@ -127,7 +127,7 @@
         { { "version", version }, { "hash", revision.head_.hash_ } });
 }
 
-void RulesDuty::handleRules(const std::shared_ptr<HttpExchange> &exchange)
+void RulesAdapter::handleRules(const std::shared_ptr<HttpExchange> &exchange)
 {
     if (exchange->request().method_ != "PUT") {
         reply(*exchange, operations_->get());
@@ -143,13 +143,13 @@
                      [exchange](const RulesReply &rules) { reply(*exchange, rules); });
 }
 
-void RulesDuty::handleStatus(const std::shared_ptr<HttpExchange> &exchange)
+void RulesAdapter::handleStatus(const std::shared_ptr<HttpExchange> &exchange)
 {
     constexpr int statusOk = 200;
     replyJson(*exchange, statusOk, dumpState());
 }
 
-nlohmann::json RulesDuty::dumpState() const
+nlohmann::json RulesAdapter::dumpState() const
 {
     auto state = operations_->describe();
     state["instance"] = parts_.view_.self().id_.value();
--- a/apps/quetzaldaled/rulesduty.h
+++ b/apps/quetzaldaled/rulesadapter.h
@@ -14,7 +14,7 @@
 namespace qz {
 
 /// Connects a RulesService to the links, the working view and the operators.
-class RulesDuty
+class RulesAdapter
 {
 public:
     struct Parts
@@ -26,9 +26,9 @@
         WorkingView &view_;
     };
 
-    RulesDuty(const Parts &parts, std::string incarnation, Duration inForceLimit);
-    RulesDuty(const RulesDuty &) = delete;
-    RulesDuty &operator=(const RulesDuty &) = delete;
+    RulesAdapter(const Parts &parts, std::string incarnation, Duration inForceLimit);
+    RulesAdapter(const RulesAdapter &) = delete;
+    RulesAdapter &operator=(const RulesAdapter &) = delete;
 
     void setMembers(const std::vector<Member> &members);
     void setListed(const InstanceListing &listing);
--- a/apps/quetzaldaled/serve/servedaemon.cpp
+++ b/apps/quetzaldaled/serve/servedaemon.cpp
@@ -63,21 +63,21 @@
     , platform_(loop_, { settings_.storeAddress_, settings_.regions_, makeSelf() }, backends_,
                 replicas_, makeAdapterHandlers())
     , callers_(loop_, {}, [this](const auto &exchange) { forwarder_.handle(exchange); })
-    , ready_(loop_, {}, [this](const auto &exchange) { answerControl(exchange); })
-    , directoryServer_(loop_, {}, [this](const auto &exchange) { answerControl(exchange); })
-    , metricsServer_(loop_, {}, [this](const auto &exchange) { answerControl(exchange); })
+    , ready_(loop_, {}, [this](const auto &exchange) { handleControlRequest(exchange); })
+    , directoryServer_(loop_, {}, [this](const auto &exchange) { handleControlRequest(exchange); })
+    , metricsServer_(loop_, {}, [this](const auto &exchange) { handleControlRequest(exchange); })
     , duties_(settings_.instanceId_)
 {
     forwarder_.setHealthListener([this](const Backend &server, Duration hold) {
-        presence_.sendNote({ server.listed().id_, server.listed().incarnation_, hold });
+        presence_.sendHealthReport({ server.listed().id_, server.listed().incarnation_, hold });
     });
-    forwarder_.setDutyFinder([this](const Backend &server) {
+    forwarder_.setServerRoleProvider([this](const Backend &server) {
         return duties_.find(server.listed().id_, server.listed().location_);
     });
-    presence_.setNoteHandler([this](const HealthNoteMessage &note) { applyNote(note); });
-    presence_.setVersions([this] { return replicas_.versions(); });
+    presence_.setHealthReportHandler([this](const HealthReportMessage &note) { applyNote(note); });
+    presence_.setVersionsProvider([this] { return replicas_.versions(); });
     presence_.setVersionsHandler([this](const InstanceId &from, const TableVersions &versions) {
-        replicas_.compare(from, versions);
+        replicas_.requestNewerTables(from, versions);
     });
 }
 
@@ -89,7 +89,7 @@
         return exitCannotListen;
     }
     watchSignals();
-    forwarder_.startWaiting(startWait);
+    forwarder_.deferRequests(startWait);
     presence_.start();
     replicas_.start();
     platform_.start();
@@ -98,7 +98,7 @@
     log(LogLevel::Info, "started",
         { { "settings", settings_.toJson() }, { "incarnation", incarnation_ } });
     loop_.run();
-    log(LogLevel::Info, "stopped", { { "running_requests", forwarder_.runningCount() } });
+    log(LogLevel::Info, "stopped", { { "running_requests", forwarder_.activeRequestCount() } });
     return 0;
 }
 
@@ -130,17 +130,17 @@
 platform::PlatformAdapter::Handlers ServeDaemon::makeAdapterHandlers()
 {
     platform::PlatformAdapter::Handlers handlers;
-    handlers.takeRoutes_ = [this](const auto &routes) { applyRoutes(routes); };
-    handlers.takeInstances_ = [this](const auto &records) {
+    handlers.applyRoutes_ = [this](const auto &routes) { applyRoutes(routes); };
+    handlers.addInstances_ = [this](const auto &records) {
         presence_.addInstances(records);
-        return !directory_.neighbours().empty();
+        return !directory_.domainPeers().empty();
     };
-    handlers.backendsKnown_ = [this] {
-        areBackendsKnown_ = true;
+    handlers.backendsLoaded_ = [this] {
+        areBackendsLoaded_ = true;
         updateState();
     };
-    handlers.instancesTried_ = [this] { updateRoles(); };
-    handlers.storeChanged_ = [this] { updateState(); };
+    handlers.instanceReadEnded_ = [this] { updateRoles(); };
+    handlers.storeStateChanged_ = [this] { updateState(); };
     handlers.callEnded_ = [this](const std::string &call, const std::string &outcome) {
         metrics_.countStoreCall(call, outcome);
     };
@@ -183,35 +183,35 @@
     updateState();
 }
 
-void ServeDaemon::applyNote(const HealthNoteMessage &note)
+void ServeDaemon::applyNote(const HealthReportMessage &note)
 {
     const auto server = backends_.find(note.server_);
     if (server == nullptr || server->listed().incarnation_ != note.incarnation_) {
         return;
     }
-    if (note.hold_ > Duration::zero()) {
-        server->health().adoptHold(note.hold_, loop_.now());
+    if (note.ejectionTime_ > Duration::zero()) {
+        server->health().applyReportedEjection(note.ejectionTime_, loop_.now());
     } else {
-        server->health().adoptRecovery(loop_.now());
+        server->health().applyReportedRecovery(loop_.now());
     }
 }
 
 bool ServeDaemon::isReady() const
 {
-    return areBackendsKnown_ && forwarder_.routes() != nullptr && !isStopping_;
+    return areBackendsLoaded_ && forwarder_.routes() != nullptr && !isStopping_;
 }
 
 void ServeDaemon::updateState()
 {
     if (isReady()) {
-        forwarder_.endWaiting();
+        forwarder_.startDeferredRequests();
     }
-    presence_.setState({ isReady(), platform_.isStoreLost() });
+    presence_.setState({ isReady(), platform_.isStoreUnavailable() });
 }
 
 void ServeDaemon::updateRoles()
 {
-    std::vector<DutyCandidate> candidates;
+    std::vector<RoleCandidate> candidates;
     for (const InstanceRecord &entry : directory_.entries(loop_.now())) {
         candidates.push_back({ entry.id_, entry.location_ });
     }
@@ -219,14 +219,14 @@
         candidates.push_back({ entry.id_, entry.location_ });
     }
     duties_.setCandidates(std::move(candidates));
-    if (platform_.hasTriedInstances()) {
-        platform_.setReader(directory_.readerRank(loop_.now()));
+    if (platform_.isInstanceReadEnded()) {
+        platform_.setReaderIndex(directory_.readerIndex(loop_.now()));
     }
 }
 
 void ServeDaemon::tick()
 {
-    backends_.dropIdle();
+    backends_.closeStaleConnections();
     metrics_.setBackendCount(static_cast<double>(backends_.size()));
     metrics_.setConnectionCount(static_cast<double>(callers_.connectionCount()));
     const double entries = static_cast<double>(directory_.domainCount())
@@ -243,7 +243,7 @@
     }
     isStopping_ = true;
     stoppingSince_ = loop_.now();
-    log(LogLevel::Info, "stopping", { { "running_requests", forwarder_.runningCount() } });
+    log(LogLevel::Info, "stopping", { { "running_requests", forwarder_.activeRequestCount() } });
     updateState();
     if (isFaultInjected(FaultPoint::DrainSkipped)) {
         loop_.stop();
@@ -264,13 +264,13 @@
         // Whoever still comes goes elsewhere; a request that is taken now could not end in time.
         callers_.stopListening();
     }
-    const bool isDone = callers_.connectionCount() == 0 && forwarder_.runningCount() == 0;
+    const bool isDone = callers_.connectionCount() == 0 && forwarder_.activeRequestCount() == 0;
     if (isDone || since > settings_.stopLimit_ - stopMargin) {
         loop_.stop();
     }
 }
 
-void ServeDaemon::answerControl(const std::shared_ptr<CallerExchange> &exchange)
+void ServeDaemon::handleControlRequest(const std::shared_ptr<CallerExchange> &exchange)
 {
     const std::string_view path = pathOf(exchange->head().target_);
     if (path == platform::readyPath) {
@@ -308,7 +308,7 @@
                   { "service", server->listed().service_.value() },
                   { "draining", server->listed().isDraining_ },
                   { "in_flight", server->inFlight() },
-                  { "idle_connections", server->idleCount() },
+                  { "idle_connections", server->idleConnectionCount() },
                   { "good", server->health().state(loop_.now()) == ServerHealth::State::Good } });
     }
     nlohmann::json entries = nlohmann::json::array();
@@ -325,7 +325,7 @@
              { "instances", directory_.all().size() + 1 },
              { "links", links_->dumpState() },
              { "caller_connections", callers_.connectionCount() },
-             { "running_requests", forwarder_.runningCount() } };
+             { "running_requests", forwarder_.activeRequestCount() } };
 }
 
 } // namespace qz
--- a/apps/quetzaldaled/serve/servedaemon.h
+++ b/apps/quetzaldaled/serve/servedaemon.h
@@ -37,14 +37,14 @@
     Result<void> listen();
     void watchSignals();
     void applyRoutes(const std::shared_ptr<const RoutingTable> &routes);
-    void applyNote(const HealthNoteMessage &note);
+    void applyNote(const HealthReportMessage &note);
     bool isReady() const;
     void updateState();
     void updateRoles();
     void tick();
     void startStopping();
     void checkStopped();
-    void answerControl(const std::shared_ptr<CallerExchange> &exchange);
+    void handleControlRequest(const std::shared_ptr<CallerExchange> &exchange);
     void answerDirectory(const std::shared_ptr<CallerExchange> &exchange);
     nlohmann::json dumpState() const;
 
@@ -63,8 +63,8 @@
     CallerServer ready_;
     CallerServer directoryServer_;
     CallerServer metricsServer_;
-    ServerDuties duties_;
-    bool areBackendsKnown_ = false;
+    ServerRoles duties_;
+    bool areBackendsLoaded_ = false;
     bool isStopping_ = false;
     TimePoint stoppingSince_{};
     std::vector<Timers::HandlePtr> handles_;
--- a/apps/quetzaldaled/tests/servepathtest.cpp
+++ b/apps/quetzaldaled/tests/servepathtest.cpp
@@ -4,7 +4,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "platform/tests/storestandin.h"
+#include "platform/tests/fakestore.h"
 #include "testbed/daemonprocess.h"
 
 #include <csignal>
@@ -139,7 +139,7 @@
     }
 
     qz::EventLoop loop_;
-    StoreStandIn store_;
+    FakeStore store_;
     qz::Duration answerTime_ = 1ms;
     int backendReads_ = 0; ///< Requests that the backend server has got.
     std::vector<qz::Timers::HandlePtr> answers_;
@@ -245,7 +245,7 @@
     const qz::Endpoint caller = late.caller_;
     late.process_.send(SIGKILL);
     fixture.awaitEnd(late, 2s);
-    fixture.store_.setFault(StoreStandIn::Fault::Refuses);
+    fixture.store_.setFault(FakeStore::Fault::Refuses);
     auto again = std::make_unique<DaemonProcess>(
             QZ_DAEMON_PATH,
             std::vector<std::string>{ "serve", "--instance-id=late", "--region=r",
--- a/examples/embedding/main.cpp
+++ b/examples/embedding/main.cpp
@@ -13,7 +13,7 @@
     builder.setRanks({ { 0.6, 200ms, 10.0 }, { 0.2, 2s, 1.0 } });
     auto queue = builder.build();
     for (std::uint64_t id = 1; id <= 4; ++id) {
-        qz::Ticket ticket;
+        qz::AdmissionRequest ticket;
         ticket.id_ = id;
         ticket.rank_ = id % 2;
         ticket.kind_ = "view";
--- a/packages/qz_admission/estimates/servicetimes.cpp
+++ b/packages/qz_admission/estimates/servicetimes.cpp
@@ -42,7 +42,7 @@
     return estimateOf(kind).mean_;
 }
 
-Duration ServiceTimes::cautious(const std::string &kind) const
+Duration ServiceTimes::conservative(const std::string &kind) const
 {
     const Estimate &estimate = estimateOf(kind);
     return estimate.mean_ + cautiousDeviations * estimate.deviation_;
--- a/packages/qz_admission/estimates/servicetimes.h
+++ b/packages/qz_admission/estimates/servicetimes.h
@@ -20,7 +20,7 @@
     Duration expected(const std::string &kind) const;
 
     /// A time that all but a few requests of @p kind stay under.
-    Duration cautious(const std::string &kind) const;
+    Duration conservative(const std::string &kind) const;
 
 private:
     struct Estimate
--- a/packages/qz_admission/policies/admissionpolicy.h
+++ b/packages/qz_admission/policies/admissionpolicy.h
@@ -18,7 +18,7 @@
 /// - wait(queued, load): the expected wait of a ticket that would be inserted now;
 /// - waitOfRank(rank, load): the same for a ticket of a workspace without queued work;
 /// - victim(queued, maxQueued): which queued ticket yields its place in a full queue, if any;
-/// - lessWorthy(queued): a ticket to give up for one that would otherwise be refused, if any;
+/// - findLowerWorth(queued): a ticket to give up for one that would otherwise be refused, if any;
 /// - configure(slots, ranks, now): the slots or ranks changed;
 /// - dump(): its state.
 using AdmissionPolicy = std::variant<SharedRanksPolicy, StrictPriorityPolicy, FifoPolicy>;
--- a/packages/qz_admission/policies/fifopolicy.cpp
+++ b/packages/qz_admission/policies/fifopolicy.cpp
@@ -8,13 +8,13 @@
 {
 }
 
-void FifoPolicy::insert(const QueuedTicket &queued, TimePoint /*now*/)
+void FifoPolicy::insert(const QueuedRequest &queued, TimePoint /*now*/)
 {
-    idsBySequence_.emplace(queued.sequence_, queued.ticket_.id_);
+    idsBySequence_.emplace(queued.sequence_, queued.request_.id_);
     work_ += queued.expected_;
 }
 
-void FifoPolicy::erase(const QueuedTicket &queued, TimePoint /*now*/)
+void FifoPolicy::erase(const QueuedRequest &queued, TimePoint /*now*/)
 {
     idsBySequence_.erase(queued.sequence_);
     work_ -= queued.expected_;
@@ -28,16 +28,16 @@
     return idsBySequence_.begin()->second;
 }
 
-void FifoPolicy::start(const QueuedTicket &queued, TimePoint now)
+void FifoPolicy::start(const QueuedRequest &queued, TimePoint now)
 {
     erase(queued, now);
 }
 
-void FifoPolicy::finish(const QueuedTicket & /*queued*/, Duration /*used*/, TimePoint /*now*/)
+void FifoPolicy::finish(const QueuedRequest & /*queued*/, Duration /*used*/, TimePoint /*now*/)
 {
 }
 
-Duration FifoPolicy::wait(const QueuedTicket & /*queued*/, const SlotLoad &load) const
+Duration FifoPolicy::wait(const QueuedRequest & /*queued*/, const SlotLoad &load) const
 {
     return load.waitFor(work_);
 }
@@ -47,13 +47,13 @@
     return load.waitFor(work_);
 }
 
-std::optional<std::uint64_t> FifoPolicy::victim(const QueuedTicket & /*queued*/,
+std::optional<std::uint64_t> FifoPolicy::victim(const QueuedRequest & /*queued*/,
                                                 std::size_t /*maxQueued*/) const
 {
     return std::nullopt;
 }
 
-std::optional<std::uint64_t> FifoPolicy::lessWorthy(const QueuedTicket & /*queued*/) const
+std::optional<std::uint64_t> FifoPolicy::findLowerWorth(const QueuedRequest & /*queued*/) const
 {
     return std::nullopt;
 }
--- a/packages/qz_admission/policies/sharedrankspolicy.cpp
+++ b/packages/qz_admission/policies/sharedrankspolicy.cpp
@@ -72,13 +72,13 @@
     }
 }
 
-void SharedRanksPolicy::insert(const QueuedTicket &queued, TimePoint now)
+void SharedRanksPolicy::insert(const QueuedRequest &queued, TimePoint now)
 {
     settle(now);
     queueOf(queued).tickets_.insert(queued);
 }
 
-void SharedRanksPolicy::erase(const QueuedTicket &queued, TimePoint now)
+void SharedRanksPolicy::erase(const QueuedRequest &queued, TimePoint now)
 {
     settle(now);
     queueOf(queued).tickets_.erase(queued);
@@ -110,7 +110,7 @@
     return first->tickets_.frontId();
 }
 
-void SharedRanksPolicy::start(const QueuedTicket &queued, TimePoint now)
+void SharedRanksPolicy::start(const QueuedRequest &queued, TimePoint now)
 {
     settle(now);
     RankQueue &rank = queueOf(queued);
@@ -118,7 +118,7 @@
     addCredit(rank, -queued.expected_);
 }
 
-void SharedRanksPolicy::finish(const QueuedTicket &queued, Duration used, TimePoint now)
+void SharedRanksPolicy::finish(const QueuedRequest &queued, Duration used, TimePoint now)
 {
     settle(now);
     RankQueue &rank = queueOf(queued);
@@ -126,9 +126,9 @@
     addCredit(rank, queued.expected_ - used);
 }
 
-Duration SharedRanksPolicy::wait(const QueuedTicket &queued, const SlotLoad &load) const
+Duration SharedRanksPolicy::wait(const QueuedRequest &queued, const SlotLoad &load) const
 {
-    const std::size_t rank = queued.ticket_.rank_;
+    const std::size_t rank = queued.request_.rank_;
     return waitFor(rank, ranks_.at(rank).tickets_.workAhead(queued), load);
 }
 
@@ -164,19 +164,19 @@
     return static_cast<double>(rank.tickets_.size()) > std::max(1.0, places);
 }
 
-std::optional<std::uint64_t> SharedRanksPolicy::victim(const QueuedTicket &queued,
+std::optional<std::uint64_t> SharedRanksPolicy::victim(const QueuedRequest &queued,
                                                        std::size_t maxQueued) const
 {
-    const std::size_t own = queued.ticket_.rank_;
+    const std::size_t own = queued.request_.rank_;
     for (std::size_t i = ranks_.size(); i-- > own + 1;) {
         if (isOverItsPlaces(ranks_[i], maxQueued)) {
-            return ranks_[i].tickets_.longestBackId();
+            return ranks_[i].tickets_.lastIdOfLongestFlow();
         }
     }
-    if (ranks_[own].tickets_.isBelowLongest(queued)) {
-        return ranks_[own].tickets_.longestBackId();
+    if (ranks_[own].tickets_.isShorterThanLongestFlow(queued)) {
+        return ranks_[own].tickets_.lastIdOfLongestFlow();
     }
-    if (const auto lesser = lessWorthy(queued)) {
+    if (const auto lesser = findLowerWorth(queued)) {
         return lesser;
     }
     const double ownPlaces = ranks_[own].share_ * static_cast<double>(maxQueued);
@@ -185,15 +185,15 @@
     }
     for (std::size_t i = own; i-- > 0;) {
         if (isOverItsPlaces(ranks_[i], maxQueued)) {
-            return ranks_[i].tickets_.longestBackId();
+            return ranks_[i].tickets_.lastIdOfLongestFlow();
         }
     }
     return std::nullopt;
 }
 
-std::optional<std::uint64_t> SharedRanksPolicy::lessWorthy(const QueuedTicket &queued) const
+std::optional<std::uint64_t> SharedRanksPolicy::findLowerWorth(const QueuedRequest &queued) const
 {
-    return ranks_.at(queued.ticket_.rank_).tickets_.lessWorthyId(queued);
+    return ranks_.at(queued.request_.rank_).tickets_.findLowerWorth(queued);
 }
 
 nlohmann::json SharedRanksPolicy::dump() const
--- a/packages/qz_admission/policies/sharedrankspolicy.h
+++ b/packages/qz_admission/policies/sharedrankspolicy.h
@@ -26,15 +26,15 @@
     std::string_view name() const { return "shared-ranks"; }
     bool limitsOverloadToTarget() const { return true; }
     void configure(int slots, const std::vector<RankShare> &ranks, TimePoint now);
-    void insert(const QueuedTicket &queued, TimePoint now);
-    void erase(const QueuedTicket &queued, TimePoint now);
+    void insert(const QueuedRequest &queued, TimePoint now);
+    void erase(const QueuedRequest &queued, TimePoint now);
     std::optional<std::uint64_t> next(TimePoint now);
-    void start(const QueuedTicket &queued, TimePoint now);
-    void finish(const QueuedTicket &queued, Duration used, TimePoint now);
-    Duration wait(const QueuedTicket &queued, const SlotLoad &load) const;
+    void start(const QueuedRequest &queued, TimePoint now);
+    void finish(const QueuedRequest &queued, Duration used, TimePoint now);
+    Duration wait(const QueuedRequest &queued, const SlotLoad &load) const;
     Duration waitOfRank(std::size_t rank, const SlotLoad &load) const;
-    std::optional<std::uint64_t> victim(const QueuedTicket &queued, std::size_t maxQueued) const;
-    std::optional<std::uint64_t> lessWorthy(const QueuedTicket &queued) const;
+    std::optional<std::uint64_t> victim(const QueuedRequest &queued, std::size_t maxQueued) const;
+    std::optional<std::uint64_t> findLowerWorth(const QueuedRequest &queued) const;
     nlohmann::json dump() const;
 
 private:
@@ -45,7 +45,7 @@
         WorkspaceFairQueue tickets_;
     };
 
-    RankQueue &queueOf(const QueuedTicket &queued) { return ranks_.at(queued.ticket_.rank_); }
+    RankQueue &queueOf(const QueuedRequest &queued) { return ranks_.at(queued.request_.rank_); }
     void settle(TimePoint now);
     void addCredit(RankQueue &rank, Duration amount) const;
     void forgiveDebts();
--- a/packages/qz_admission/policies/strictprioritypolicy.cpp
+++ b/packages/qz_admission/policies/strictprioritypolicy.cpp
@@ -8,16 +8,16 @@
 {
 }
 
-void StrictPriorityPolicy::insert(const QueuedTicket &queued, TimePoint /*now*/)
+void StrictPriorityPolicy::insert(const QueuedRequest &queued, TimePoint /*now*/)
 {
-    RankQueue &rank = ranks_[queued.ticket_.rank_];
-    rank.idsBySequence_.emplace(queued.sequence_, queued.ticket_.id_);
+    RankQueue &rank = ranks_[queued.request_.rank_];
+    rank.idsBySequence_.emplace(queued.sequence_, queued.request_.id_);
     rank.work_ += queued.expected_;
 }
 
-void StrictPriorityPolicy::erase(const QueuedTicket &queued, TimePoint /*now*/)
+void StrictPriorityPolicy::erase(const QueuedRequest &queued, TimePoint /*now*/)
 {
-    const auto rank = ranks_.find(queued.ticket_.rank_);
+    const auto rank = ranks_.find(queued.request_.rank_);
     rank->second.idsBySequence_.erase(queued.sequence_);
     rank->second.work_ -= queued.expected_;
     if (rank->second.idsBySequence_.empty()) {
@@ -33,19 +33,19 @@
     return ranks_.begin()->second.idsBySequence_.begin()->second;
 }
 
-void StrictPriorityPolicy::start(const QueuedTicket &queued, TimePoint now)
+void StrictPriorityPolicy::start(const QueuedRequest &queued, TimePoint now)
 {
     erase(queued, now);
 }
 
-void StrictPriorityPolicy::finish(const QueuedTicket & /*queued*/, Duration /*used*/,
+void StrictPriorityPolicy::finish(const QueuedRequest & /*queued*/, Duration /*used*/,
                                   TimePoint /*now*/)
 {
 }
 
-Duration StrictPriorityPolicy::wait(const QueuedTicket &queued, const SlotLoad &load) const
+Duration StrictPriorityPolicy::wait(const QueuedRequest &queued, const SlotLoad &load) const
 {
-    return waitOfRank(queued.ticket_.rank_, load);
+    return waitOfRank(queued.request_.rank_, load);
 }
 
 Duration StrictPriorityPolicy::waitOfRank(std::size_t rank, const SlotLoad &load) const
@@ -59,16 +59,17 @@
     return load.waitFor(ahead);
 }
 
-std::optional<std::uint64_t> StrictPriorityPolicy::victim(const QueuedTicket &queued,
+std::optional<std::uint64_t> StrictPriorityPolicy::victim(const QueuedRequest &queued,
                                                           std::size_t /*maxQueued*/) const
 {
-    if (ranks_.empty() || ranks_.rbegin()->first <= queued.ticket_.rank_) {
+    if (ranks_.empty() || ranks_.rbegin()->first <= queued.request_.rank_) {
         return std::nullopt;
     }
     return ranks_.rbegin()->second.idsBySequence_.rbegin()->second;
 }
 
-std::optional<std::uint64_t> StrictPriorityPolicy::lessWorthy(const QueuedTicket & /*queued*/) const
+std::optional<std::uint64_t> StrictPriorityPolicy::findLowerWorth(
+        const QueuedRequest & /*queued*/) const
 {
     return std::nullopt;
 }
--- a/packages/qz_admission/policies/strictprioritypolicy.h
+++ b/packages/qz_admission/policies/strictprioritypolicy.h
@@ -14,15 +14,15 @@
     std::string_view name() const { return "strict-priority"; }
     bool limitsOverloadToTarget() const { return false; }
     void configure(int slots, const std::vector<RankShare> &ranks, TimePoint now);
-    void insert(const QueuedTicket &queued, TimePoint now);
-    void erase(const QueuedTicket &queued, TimePoint now);
+    void insert(const QueuedRequest &queued, TimePoint now);
+    void erase(const QueuedRequest &queued, TimePoint now);
     std::optional<std::uint64_t> next(TimePoint now);
-    void start(const QueuedTicket &queued, TimePoint now);
-    void finish(const QueuedTicket &queued, Duration used, TimePoint now);
-    Duration wait(const QueuedTicket &queued, const SlotLoad &load) const;
+    void start(const QueuedRequest &queued, TimePoint now);
+    void finish(const QueuedRequest &queued, Duration used, TimePoint now);
+    Duration wait(const QueuedRequest &queued, const SlotLoad &load) const;
     Duration waitOfRank(std::size_t rank, const SlotLoad &load) const;
-    std::optional<std::uint64_t> victim(const QueuedTicket &queued, std::size_t maxQueued) const;
-    std::optional<std::uint64_t> lessWorthy(const QueuedTicket &queued) const;
+    std::optional<std::uint64_t> victim(const QueuedRequest &queued, std::size_t maxQueued) const;
+    std::optional<std::uint64_t> findLowerWorth(const QueuedRequest &queued) const;
     nlohmann::json dump() const;
 
 private:
--- a/packages/qz_admission/policies/workspacefairqueue.cpp
+++ b/packages/qz_admission/policies/workspacefairqueue.cpp
@@ -17,16 +17,16 @@
 
 } // namespace
 
-WorkspaceFairQueue::Position WorkspaceFairQueue::positionOf(const QueuedTicket &queued)
+WorkspaceFairQueue::Position WorkspaceFairQueue::positionOf(const QueuedRequest &queued)
 {
-    return { queued.ticket_.deadline_, queued.sequence_ };
+    return { queued.request_.deadline_, queued.sequence_ };
 }
 
-WorkspaceFairQueue::Rating WorkspaceFairQueue::ratingOf(const QueuedTicket &queued)
+WorkspaceFairQueue::Rating WorkspaceFairQueue::ratingOf(const QueuedRequest &queued)
 {
     const Duration expected = std::max(queued.expected_, shortestService);
     const double seconds = std::chrono::duration<double>(expected).count();
-    return { queued.ticket_.worth_ / seconds, queued.sequence_ };
+    return { queued.request_.worth_ / seconds, queued.sequence_ };
 }
 
 double WorkspaceFairQueue::virtualTime(Duration time, double weight)
@@ -54,10 +54,10 @@
     activeWeight_ -= flow.weight_;
 }
 
-void WorkspaceFairQueue::insert(const QueuedTicket &queued)
+void WorkspaceFairQueue::insert(const QueuedRequest &queued)
 {
-    assert(queued.ticket_.weight_ > 0.0);
-    const auto [known, isNew] = flows_.try_emplace(queued.ticket_.workspace_);
+    assert(queued.request_.weight_ > 0.0);
+    const auto [known, isNew] = flows_.try_emplace(queued.request_.workspace_);
     Flow &flow = known->second;
     if (isNew) {
         flow.order_ = nextOrder_++;
@@ -68,16 +68,16 @@
     } else {
         unlink(flow);
     }
-    flow.weight_ = queued.ticket_.weight_;
-    flow.waiting_.emplace(positionOf(queued), Waiting{ queued.ticket_.id_, queued.expected_ });
-    ratings_.emplace(ratingOf(queued), Rated{ queued.ticket_.id_, &flow });
+    flow.weight_ = queued.request_.weight_;
+    flow.waiting_.emplace(positionOf(queued), Waiting{ queued.request_.id_, queued.expected_ });
+    ratings_.emplace(ratingOf(queued), Rated{ queued.request_.id_, &flow });
     flow.work_ += queued.expected_;
     work_ += queued.expected_;
     ++size_;
     link(flow);
 }
 
-void WorkspaceFairQueue::takeOut(Flow &flow, const QueuedTicket &queued)
+void WorkspaceFairQueue::takeOut(Flow &flow, const QueuedRequest &queued)
 {
     unlink(flow);
     flow.waiting_.erase(positionOf(queued));
@@ -86,30 +86,30 @@
     work_ -= queued.expected_;
     --size_;
     if (flow.waiting_.empty()) {
-        idle_.emplace(Tag{ flow.tag_, flow.order_ }, queued.ticket_.workspace_);
+        idle_.emplace(Tag{ flow.tag_, flow.order_ }, queued.request_.workspace_);
     } else {
         link(flow);
     }
 }
 
-void WorkspaceFairQueue::erase(const QueuedTicket &queued)
+void WorkspaceFairQueue::erase(const QueuedRequest &queued)
 {
-    takeOut(flows_.at(queued.ticket_.workspace_), queued);
+    takeOut(flows_.at(queued.request_.workspace_), queued);
     forgetIdle();
 }
 
-void WorkspaceFairQueue::start(const QueuedTicket &queued)
+void WorkspaceFairQueue::start(const QueuedRequest &queued)
 {
-    Flow &flow = flows_.at(queued.ticket_.workspace_);
+    Flow &flow = flows_.at(queued.request_.workspace_);
     virtualTime_ = std::max(virtualTime_, flow.tag_);
     takeOut(flow, queued);
     moveTag(flow, flow.tag_ + virtualTime(queued.expected_, flow.weight_));
     forgetIdle();
 }
 
-void WorkspaceFairQueue::finish(const QueuedTicket &queued, Duration used)
+void WorkspaceFairQueue::finish(const QueuedRequest &queued, Duration used)
 {
-    const auto known = flows_.find(queued.ticket_.workspace_);
+    const auto known = flows_.find(queued.request_.workspace_);
     if (known == flows_.end()) {
         return; // The others had caught up.
     }
@@ -156,27 +156,27 @@
     return active_.begin()->second->waiting_.begin()->second.expected_;
 }
 
-std::uint64_t WorkspaceFairQueue::longestBackId() const
+std::uint64_t WorkspaceFairQueue::lastIdOfLongestFlow() const
 {
     assert(!isEmpty());
     return lengths_.rbegin()->second->waiting_.rbegin()->second.id_;
 }
 
-double WorkspaceFairQueue::lengthWith(const QueuedTicket &queued) const
+double WorkspaceFairQueue::lengthWith(const QueuedRequest &queued) const
 {
-    const auto known = flows_.find(queued.ticket_.workspace_);
+    const auto known = flows_.find(queued.request_.workspace_);
     const std::size_t held = known == flows_.end() ? 0 : known->second.waiting_.size();
-    return static_cast<double>(held + 1) / queued.ticket_.weight_;
+    return static_cast<double>(held + 1) / queued.request_.weight_;
 }
 
-bool WorkspaceFairQueue::isBelowLongest(const QueuedTicket &queued) const
+bool WorkspaceFairQueue::isShorterThanLongestFlow(const QueuedRequest &queued) const
 {
     return !isEmpty() && lengthWith(queued) < lengths_.rbegin()->first.value_;
 }
 
-std::optional<std::uint64_t> WorkspaceFairQueue::lessWorthyId(const QueuedTicket &queued) const
+std::optional<std::uint64_t> WorkspaceFairQueue::findLowerWorth(const QueuedRequest &queued) const
 {
-    const auto known = flows_.find(queued.ticket_.workspace_);
+    const auto known = flows_.find(queued.request_.workspace_);
     const Flow *own = known == flows_.end() ? nullptr : &known->second;
     const double length = lengthWith(queued);
     const double density = ratingOf(queued).density_;
@@ -193,10 +193,10 @@
     return std::nullopt;
 }
 
-Duration WorkspaceFairQueue::workAhead(const QueuedTicket &queued) const
+Duration WorkspaceFairQueue::workAhead(const QueuedRequest &queued) const
 {
-    const double weight = queued.ticket_.weight_;
-    const auto known = flows_.find(queued.ticket_.workspace_);
+    const double weight = queued.request_.weight_;
+    const auto known = flows_.find(queued.request_.workspace_);
     if (known == flows_.end() || known->second.waiting_.empty()) {
         return otherWorkAhead(queued.expected_, weight, Duration{}, 0.0);
     }
@@ -211,7 +211,7 @@
     return earlier + otherWorkAhead(own, weight, flow.work_, flow.weight_);
 }
 
-Duration WorkspaceFairQueue::workAheadOfNewcomer(Duration expected) const
+Duration WorkspaceFairQueue::workAheadOfNewWorkspace(Duration expected) const
 {
     return otherWorkAhead(expected, 1.0, Duration{}, 0.0);
 }
--- a/packages/qz_admission/policies/workspacefairqueue.h
+++ b/packages/qz_admission/policies/workspacefairqueue.h
@@ -1,7 +1,7 @@
 // The queue of one rank: fair between workspaces, earliest deadline first within one.
 #pragma once
 
-#include "qz_admission/queue/ticket.h"
+#include "qz_admission/queue/admissionrequest.h"
 
 #include <map>
 #include <optional>
@@ -22,36 +22,36 @@
     WorkspaceFairQueue &operator=(WorkspaceFairQueue &&) = default;
     ~WorkspaceFairQueue() = default;
 
-    void insert(const QueuedTicket &queued);
+    void insert(const QueuedRequest &queued);
 
     /// Takes out a ticket that leaves without a slot.
-    void erase(const QueuedTicket &queued);
+    void erase(const QueuedRequest &queued);
 
     /// Takes out a ticket that gets a slot, and charges its workspace the expected time.
-    void start(const QueuedTicket &queued);
+    void start(const QueuedRequest &queued);
 
     /// Corrects the charge of a started ticket to the slot time that it @p used.
-    void finish(const QueuedTicket &queued, Duration used);
+    void finish(const QueuedRequest &queued, Duration used);
 
     /// The ticket to start next. The queue must not be empty.
     std::uint64_t frontId() const;
     Duration frontExpected() const;
 
     /// The last ticket of the workspace with the most queued work by weight.
-    std::uint64_t longestBackId() const;
+    std::uint64_t lastIdOfLongestFlow() const;
 
     /// Whether a ticket of this workspace and weight would still hold less than the longest one.
-    bool isBelowLongest(const QueuedTicket &queued) const;
+    bool isShorterThanLongestFlow(const QueuedRequest &queued) const;
 
     /// A ticket that earns less worth per slot time than @p queued, of a workspace that holds at
     /// least as much by weight as that of @p queued would; the least worthy and latest one.
-    std::optional<std::uint64_t> lessWorthyId(const QueuedTicket &queued) const;
+    std::optional<std::uint64_t> findLowerWorth(const QueuedRequest &queued) const;
 
     /// The slot time of this queue that would be served before @p queued.
-    Duration workAhead(const QueuedTicket &queued) const;
+    Duration workAhead(const QueuedRequest &queued) const;
 
     /// The same for a ticket of a workspace of weight 1 that has no queued work.
-    Duration workAheadOfNewcomer(Duration expected) const;
+    Duration workAheadOfNewWorkspace(Duration expected) const;
 
     Duration work() const { return work_; }
     std::size_t size() const { return size_; }
@@ -107,12 +107,12 @@
         const Flow *flow_ = nullptr;
     };
 
-    static Rating ratingOf(const QueuedTicket &queued);
-    double lengthWith(const QueuedTicket &queued) const;
-    static Position positionOf(const QueuedTicket &queued);
+    static Rating ratingOf(const QueuedRequest &queued);
+    double lengthWith(const QueuedRequest &queued) const;
+    static Position positionOf(const QueuedRequest &queued);
     static double virtualTime(Duration time, double weight);
     static double lengthOf(const Flow &flow);
-    void takeOut(Flow &flow, const QueuedTicket &queued);
+    void takeOut(Flow &flow, const QueuedRequest &queued);
     void link(Flow &flow);
     void unlink(const Flow &flow);
     void moveTag(Flow &flow, double tag);
--- a/packages/qz_admission/queue/admissionqueue.cpp
+++ b/packages/qz_admission/queue/admissionqueue.cpp
@@ -48,14 +48,14 @@
     return queue;
 }
 
-Result<void> AdmissionQueue::offer(Ticket ticket, TimePoint now)
+Result<void> AdmissionQueue::offer(AdmissionRequest ticket, TimePoint now)
 {
     assert(queued_.count(ticket.id_) == 0 && running_.count(ticket.id_) == 0);
     latest_ = std::max(latest_, now);
     dropExpired(now);
     ticket.rank_ = std::min(ticket.rank_, ranks_.size() - 1);
     const Duration expected = serviceTimes_.expected(ticket.kind_);
-    QueuedTicket queued{ std::move(ticket), nextSequence_++, now, {}, expected };
+    QueuedRequest queued{ std::move(ticket), nextSequence_++, now, {}, expected };
     queued.predictedWait_ = predictedWait(queued, now);
     BOOST_OUTCOME_TRY(makeTime(queued, now));
     if (!makePlace(queued, now)) {
@@ -66,17 +66,17 @@
     return success();
 }
 
-Duration AdmissionQueue::predictedWait(const QueuedTicket &queued, TimePoint now) const
+Duration AdmissionQueue::predictedWait(const QueuedRequest &queued, TimePoint now) const
 {
     const SlotLoad load = slotLoad(now);
     return std::visit([&](const auto &policy) { return policy.wait(queued, load); }, policy_);
 }
 
-TimePoint AdmissionQueue::expectedAnswer(const QueuedTicket &queued, TimePoint now) const
+TimePoint AdmissionQueue::expectedAnswer(const QueuedRequest &queued, TimePoint now) const
 {
-    const WaitCorrection &correction = corrections_[queued.ticket_.rank_];
+    const WaitCorrection &correction = corrections_[queued.request_.rank_];
     const Duration wait = correction.corrected(queued.predictedWait_);
-    return now + wait + serviceTimes_.cautious(queued.ticket_.kind_);
+    return now + wait + serviceTimes_.conservative(queued.request_.kind_);
 }
 
 Duration AdmissionQueue::targetOf(std::size_t rank) const
@@ -90,15 +90,15 @@
             std::visit([](const auto &policy) { return policy.limitsOverloadToTarget(); }, policy_);
     const Duration target = targetOf(rank);
     return isLimiting && target > Duration{}
-    && overloads_[rank].isSet(now, overloadQuietTargets * target);
+    && overloads_[rank].isOverloaded(now, overloadQuietTargets * target);
 }
 
-Result<void> AdmissionQueue::makeTime(const QueuedTicket &queued, TimePoint now)
+Result<void> AdmissionQueue::makeTime(const QueuedRequest &queued, TimePoint now)
 {
-    const std::size_t rank = queued.ticket_.rank_;
+    const std::size_t rank = queued.request_.rank_;
     const TimePoint answer = expectedAnswer(queued, now);
     const TimePoint inTarget = now + targetOf(rank);
-    const TimePoint deadline = queued.ticket_.deadline_;
+    const TimePoint deadline = queued.request_.deadline_;
     const TimePoint limit = isHeldToTarget(rank, now) ? std::min(deadline, inTarget) : deadline;
     if (answer <= limit || displaceLessWorthy(queued, answer - limit, now)) {
         return success();
@@ -112,10 +112,10 @@
     return failure(ErrorKind::DeadlineUnreachable, "the work ahead leaves no time to answer");
 }
 
-bool AdmissionQueue::displaceLessWorthy(const QueuedTicket &queued, Duration late, TimePoint now)
+bool AdmissionQueue::displaceLessWorthy(const QueuedRequest &queued, Duration late, TimePoint now)
 {
     const auto lesser =
-            std::visit([&](const auto &policy) { return policy.lessWorthy(queued); }, policy_);
+            std::visit([&](const auto &policy) { return policy.findLowerWorth(queued); }, policy_);
     if (!lesser || late > queued_.at(*lesser).expected_ / std::max(1, slots_)) {
         return false;
     }
@@ -123,12 +123,12 @@
     return true;
 }
 
-void AdmissionQueue::recordOverload(const QueuedTicket &queued, TimePoint now)
+void AdmissionQueue::recordOverload(const QueuedRequest &queued, TimePoint now)
 {
-    overloads_[queued.ticket_.rank_].recordRefusal(now);
+    overloads_[queued.request_.rank_].recordRefusal(now);
 }
 
-bool AdmissionQueue::makePlace(const QueuedTicket &queued, TimePoint now)
+bool AdmissionQueue::makePlace(const QueuedRequest &queued, TimePoint now)
 {
     if (queued_.size() < maxQueued_) {
         return true;
@@ -143,20 +143,20 @@
     return true;
 }
 
-void AdmissionQueue::insert(QueuedTicket queued, TimePoint now)
+void AdmissionQueue::insert(QueuedRequest queued, TimePoint now)
 {
     std::visit([&](auto &policy) { policy.insert(queued, now); }, policy_);
     expiries_.insert(expiryOf(queued));
-    const std::uint64_t id = queued.ticket_.id_;
+    const std::uint64_t id = queued.request_.id_;
     queued_.emplace(id, std::move(queued));
 }
 
-AdmissionQueue::Expiry AdmissionQueue::expiryOf(const QueuedTicket &queued)
+AdmissionQueue::Expiry AdmissionQueue::expiryOf(const QueuedRequest &queued)
 {
-    return { queued.ticket_.deadline_ - queued.expected_, queued.ticket_.id_ };
+    return { queued.request_.deadline_ - queued.expected_, queued.request_.id_ };
 }
 
-std::optional<Ticket> AdmissionQueue::startNext(TimePoint now)
+std::optional<AdmissionRequest> AdmissionQueue::startNext(TimePoint now)
 {
     latest_ = std::max(latest_, now);
     if (running_.size() >= static_cast<std::size_t>(std::max(0, slots_))) {
@@ -169,17 +169,17 @@
     }
     auto node = queued_.extract(*id);
     assert(!node.empty());
-    QueuedTicket &queued = node.mapped();
+    QueuedRequest &queued = node.mapped();
     expiries_.erase(expiryOf(queued));
-    WaitCorrection &correction = corrections_[queued.ticket_.rank_];
+    WaitCorrection &correction = corrections_[queued.request_.rank_];
     correction.record(queued.predictedWait_, now - queued.offeredAt_);
     std::visit([&](auto &policy) { policy.start(queued, now); }, policy_);
-    Ticket ticket = queued.ticket_;
+    AdmissionRequest ticket = queued.request_;
     running_.emplace(*id, Running{ std::move(queued), now });
     return ticket;
 }
 
-void AdmissionQueue::finish(std::uint64_t id, TimePoint now, bool isMeasured)
+void AdmissionQueue::finish(std::uint64_t id, TimePoint now, bool recordServiceTime)
 {
     latest_ = std::max(latest_, now);
     const auto node = running_.extract(id);
@@ -188,8 +188,8 @@
     }
     const Running &running = node.mapped();
     const Duration used = now - running.startedAt_;
-    if (isMeasured) {
-        serviceTimes_.record(running.queued_.ticket_.kind_, used);
+    if (recordServiceTime) {
+        serviceTimes_.record(running.queued_.request_.kind_, used);
     }
     std::visit([&](auto &policy) { policy.finish(running.queued_, used, now); }, policy_);
 }
@@ -211,21 +211,21 @@
     const bool wasQueued = cancel(id);
     assert(wasQueued);
     static_cast<void>(wasQueued);
-    dropped_.push_back(Dropped{ id, kind });
+    dropped_.push_back(DroppedRequest{ id, kind });
 }
 
 void AdmissionQueue::dropExpired(TimePoint now)
 {
     while (!expiries_.empty() && expiries_.begin()->latestStart_ < now) {
-        const QueuedTicket &queued = queued_.at(expiries_.begin()->id_);
-        if (now - queued.offeredAt_ > targetOf(queued.ticket_.rank_)) {
+        const QueuedRequest &queued = queued_.at(expiries_.begin()->id_);
+        if (now - queued.offeredAt_ > targetOf(queued.request_.rank_)) {
             recordOverload(queued, now);
         }
-        drop(queued.ticket_.id_, ErrorKind::DeadlineExpiredInQueue, now);
+        drop(queued.request_.id_, ErrorKind::DeadlineExpiredInQueue, now);
     }
 }
 
-std::vector<Dropped> AdmissionQueue::takeDropped(TimePoint now)
+std::vector<DroppedRequest> AdmissionQueue::takeDroppedRequests(TimePoint now)
 {
     latest_ = std::max(latest_, now);
     dropExpired(now);
--- a/packages/qz_admission/queue/ticket.h
+++ b/packages/qz_admission/queue/admissionrequest.h
@@ -12,7 +12,7 @@
 
 /// One request that asks for a slot.
 /// @see AdmissionQueue
-struct Ticket
+struct AdmissionRequest
 {
     std::uint64_t id_ = 0; ///< Unique among the requests of one queue.
     std::size_t rank_ = 0; ///< 0 is the most urgent.
@@ -32,9 +32,9 @@
 };
 
 /// A ticket with what a policy needs to know about it.
-struct QueuedTicket
+struct QueuedRequest
 {
-    Ticket ticket_;
+    AdmissionRequest request_;
     std::uint64_t sequence_ = 0; ///< Rises with each offer.
     TimePoint offeredAt_;
     Duration predictedWait_{}; ///< As predicted at the offer, before any correction.
@@ -42,7 +42,7 @@
 };
 
 /// A ticket that left the queue without a slot.
-struct Dropped
+struct DroppedRequest
 {
     std::uint64_t id_ = 0;
     ErrorKind kind_ = ErrorKind::Internal; ///< DeadlineExpiredInQueue, or displaced: QueueFull,
--- a/packages/qz_admission/queue/overloadmark.h
+++ b/packages/qz_admission/queue/overloaddetector.h
@@ -11,13 +11,13 @@
 /// While it lasts there is more work than can be answered, whatever the length of the queue;
 /// a long queue then only makes every answer late.
 /// @see AdmissionQueue
-class OverloadMark
+class OverloadDetector
 {
 public:
     void recordRefusal(TimePoint now) { lastRefusal_ = now; }
 
     /// Whether a refusal was recorded within @p quiet before @p now.
-    bool isSet(TimePoint now, Duration quiet) const
+    bool isOverloaded(TimePoint now, Duration quiet) const
     {
         return lastRefusal_ && now - *lastRefusal_ <= quiet;
     }
--- a/packages/qz_admission/qz_admission.h
+++ b/packages/qz_admission/qz_admission.h
@@ -11,5 +11,5 @@
 #include "qz_admission/policies/sharedrankspolicy.h"
 #include "qz_admission/policies/strictprioritypolicy.h"
 #include "qz_admission/queue/admissionqueue.h"
-#include "qz_admission/queue/overloadmark.h"
-#include "qz_admission/queue/ticket.h"
+#include "qz_admission/queue/admissionrequest.h"
+#include "qz_admission/queue/overloaddetector.h"
--- a/packages/qz_admission/tests/admissionqueuetest.cpp
+++ b/packages/qz_admission/tests/admissionqueuetest.cpp
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-qz::Ticket makeTicket(std::uint64_t id, std::size_t rank, qz::TimePoint deadline)
+qz::AdmissionRequest makeTicket(std::uint64_t id, std::size_t rank, qz::TimePoint deadline)
 {
     return { id, rank, qz::WorkspaceId("ws"), "kind", 1.0, deadline };
 }
@@ -110,7 +110,7 @@
     clock_.advance(milliseconds(301)); // 99 ms are left of the 100 that it needs.
     queue_.finish(1, clock_.now(), true);
     BOOST_TEST(startNext() == 0U);
-    const auto dropped = queue_.takeDropped(clock_.now());
+    const auto dropped = queue_.takeDroppedRequests(clock_.now());
     BOOST_TEST_REQUIRE(dropped.size() == 1U);
     BOOST_TEST(dropped[0].id_ == 3U);
     BOOST_TEST((dropped[0].kind_ == qz::ErrorKind::DeadlineExpiredInQueue));
@@ -123,7 +123,7 @@
     }
     BOOST_TEST((offer(5, 1).error().kind_ == qz::ErrorKind::QueueFull));
     BOOST_TEST(offer(6, 0).has_value());
-    const auto dropped = queue_.takeDropped(clock_.now());
+    const auto dropped = queue_.takeDroppedRequests(clock_.now());
     BOOST_TEST_REQUIRE(dropped.size() == 1U);
     BOOST_TEST(dropped[0].id_ == 4U);
     BOOST_TEST((dropped[0].kind_ == qz::ErrorKind::QueueFull));
@@ -138,7 +138,7 @@
     BOOST_TEST(!queue_.cancel(1));
     BOOST_TEST(queue_.cancel(2));
     BOOST_TEST(startNext() == 0U);
-    BOOST_TEST(queue_.takeDropped(clock_.now()).empty());
+    BOOST_TEST(queue_.takeDroppedRequests(clock_.now()).empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/qz_admission/tests/baselinestest.cpp
+++ b/packages/qz_admission/tests/baselinestest.cpp
@@ -51,7 +51,7 @@
     driver.offer({ 1 }).value();
     driver.offer({ 0 }).value();
     BOOST_TEST(driver.offer({ 0 }).has_value());
-    const auto dropped = driver.queue_.takeDropped(driver.clock_.now());
+    const auto dropped = driver.queue_.takeDroppedRequests(driver.clock_.now());
     BOOST_TEST_REQUIRE(dropped.size() == 1U);
     BOOST_TEST(dropped[0].id_ == 2U);
 }
@@ -77,8 +77,8 @@
         times.record("steady", milliseconds(50));
         times.record("varying", milliseconds(i % 2 == 0 ? 10 : 90));
     }
-    BOOST_TEST((times.cautious("steady") < milliseconds(55)));
-    BOOST_TEST((times.cautious("varying") > milliseconds(100)));
+    BOOST_TEST((times.conservative("steady") < milliseconds(55)));
+    BOOST_TEST((times.conservative("varying") > milliseconds(100)));
 }
 
 BOOST_AUTO_TEST_CASE(waitsAreCorrectedUpwardsWithinALimit)
@@ -105,7 +105,7 @@
     driver.queue_.startNext(driver.clock_.now());
     driver.clock_.advance(milliseconds(10));
     driver.queue_.finish(1, driver.clock_.now(), false);
-    BOOST_TEST(driver.queue_.expectedService("kind").count() == 0);
+    BOOST_TEST(driver.queue_.expectedServiceTime("kind").count() == 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/qz_admission/tests/floods/floodrun.cpp
+++ b/packages/qz_admission/tests/floods/floodsimulation.cpp
@@ -1,5 +1,5 @@
 // One run of the flood measurement.
-#include "floodrun.h"
+#include "floodsimulation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -36,7 +36,7 @@
 
 } // namespace
 
-FloodRun::FloodRun(RunSettings settings, const MakePolicy &makePolicy)
+FloodSimulation::FloodSimulation(SimulationSettings settings, const MakePolicy &makePolicy)
     : settings_(std::move(settings))
     , start_(now_ + settings_.warmUp_)
     , end_(start_ + settings_.measured_)
@@ -67,7 +67,7 @@
     }
 }
 
-RunFigures FloodRun::run()
+SimulationResults FloodSimulation::run()
 {
     for (std::size_t kind = 0; kind < kinds_.size(); ++kind) {
         scheduleArrival(kind, false);
@@ -88,12 +88,12 @@
     return figures_;
 }
 
-void FloodRun::schedule(TimePoint at, std::function<void()> work)
+void FloodSimulation::schedule(TimePoint at, std::function<void()> work)
 {
     events_.push(Event{ at, nextOrder_++, std::move(work) });
 }
 
-void FloodRun::scheduleArrival(std::size_t kind, bool isFlood)
+void FloodSimulation::scheduleArrival(std::size_t kind, bool isFlood)
 {
     const WorkKind &work = kinds_[kind];
     const double usual = usualLoad.at(work.rank_);
@@ -104,7 +104,7 @@
     schedule(now_ + fromSeconds(gap), [this, kind, isFlood] { arrive(kind, isFlood); });
 }
 
-void FloodRun::arrive(std::size_t kind, bool isFlood)
+void FloodSimulation::arrive(std::size_t kind, bool isFlood)
 {
     const WorkKind &work = kinds_[kind];
     std::lognormal_distribution<double> spread(-serviceSigma * serviceSigma / 2, serviceSigma);
@@ -117,7 +117,7 @@
     request.service_ = fromSeconds(seconds(work.meanService_) * spread(arrivals_));
     request.isMeasured_ = isInMeasuredTime(now_);
     if (request.isMeasured_) {
-        RankFigures &rank = figures_.ranks_.at(work.rank_);
+        RankResults &rank = figures_.ranks_.at(work.rank_);
         ++rank.offered_;
         rank.offeredSlotTime_ += request.service_;
         offered_[kind].slotTime_ += request.service_;
@@ -128,7 +128,7 @@
     scheduleArrival(kind, isFlood);
 }
 
-void FloodRun::send(std::size_t id)
+void FloodSimulation::send(std::size_t id)
 {
     Request &request = requests_[id];
     Entry &entry = entries_[request.entry_];
@@ -152,13 +152,15 @@
     schedule(now_ + distance(request.entry_, gate), [this, id, gate] { offer(id, gate); });
 }
 
-void FloodRun::offer(std::size_t id, std::size_t gate)
+void FloodSimulation::offer(std::size_t id, std::size_t gate)
 {
     const Request &request = requests_[id];
     const WorkKind &kind = kinds_[request.kind_];
     const TimePoint deadline = request.arrivedAt_ + kind.deadline_ - distance(request.entry_, gate);
-    Ticket ticket{ id,         kind.rank_,  WorkspaceId(std::to_string(request.workspace_)),
-                   kind.name_, kind.worth_, deadline };
+    AdmissionRequest ticket{
+        id,         kind.rank_,  WorkspaceId(std::to_string(request.workspace_)),
+        kind.name_, kind.worth_, deadline
+    };
     const Result<void> taken = gates_[gate].offer(std::move(ticket), now_);
     if (!taken) {
         reply(id, gate, taken.error().kind_);
@@ -166,7 +168,7 @@
     pump(gate);
 }
 
-void FloodRun::pump(std::size_t gate)
+void FloodSimulation::pump(std::size_t gate)
 {
     while (const auto ticket = gates_[gate].startNext(now_)) {
         const std::size_t id = ticket->id_;
@@ -175,12 +177,12 @@
         schedule(std::min(end, ticket->deadline_),
                  [this, id, gate, from = now_, isWhole] { finish(id, gate, from, isWhole); });
     }
-    for (const Dropped &dropped : gates_[gate].takeDropped(now_)) {
+    for (const DroppedRequest &dropped : gates_[gate].takeDroppedRequests(now_)) {
         reply(dropped.id_, gate, dropped.kind_);
     }
 }
 
-void FloodRun::finish(std::size_t id, std::size_t gate, TimePoint startedAt, bool isWhole)
+void FloodSimulation::finish(std::size_t id, std::size_t gate, TimePoint startedAt, bool isWhole)
 {
     gates_[gate].finish(id, now_, isWhole);
     measureService(requests_[id], startedAt, isWhole);
@@ -192,7 +194,7 @@
     pump(gate);
 }
 
-void FloodRun::measureService(const Request &request, TimePoint startedAt, bool isWhole)
+void FloodSimulation::measureService(const Request &request, TimePoint startedAt, bool isWhole)
 {
     const WorkKind &kind = kinds_[request.kind_];
     const Duration used = std::min(now_, end_) - std::max(startedAt, start_);
@@ -202,7 +204,7 @@
     }
 }
 
-void FloodRun::reply(std::size_t id, std::size_t gate, std::optional<ErrorKind> error)
+void FloodSimulation::reply(std::size_t id, std::size_t gate, std::optional<ErrorKind> error)
 {
     const std::size_t entryIndex = requests_[id].entry_;
     const TimePoint sentAt = now_;
@@ -213,7 +215,7 @@
         entry.digestsAt_[gate] = sentAt;
         if (error) {
             if (answerOf(*error).retryInFleet_ && request.tried_.size() < maxTries
-                && entry.retries_.take(now_)) {
+                && entry.retries_.tryAcquire(now_)) {
                 send(id);
             }
             return;
@@ -223,13 +225,13 @@
             return;
         }
         const WorkKind &kind = kinds_[request.kind_];
-        RankFigures &rank = figures_.ranks_.at(kind.rank_);
+        RankResults &rank = figures_.ranks_.at(kind.rank_);
         rank.inTarget_ += now_ - request.arrivedAt_ <= ranks_[kind.rank_].target_ ? 1 : 0;
     };
     schedule(now_ + distance(entryIndex, gate), receive);
 }
 
-void FloodRun::gossip()
+void FloodSimulation::gossip()
 {
     for (std::size_t gate = 0; gate < gateCount; ++gate) {
         pump(gate);
@@ -242,7 +244,7 @@
     schedule(now_ + gossipPeriod, [this] { gossip(); });
 }
 
-QueueDigest FloodRun::digestOf(std::size_t gate) const
+QueueDigest FloodSimulation::digestOf(std::size_t gate) const
 {
     const AdmissionQueue &queue = gates_[gate];
     QueueDigest digest{ queue.queued(), queue.running(), queue.slots(), {}, {} };
@@ -252,7 +254,7 @@
     return digest;
 }
 
-Duration FloodRun::distance(std::size_t entry, std::size_t gate) const
+Duration FloodSimulation::distance(std::size_t entry, std::size_t gate) const
 {
     const bool isNear = regionOf(entry) == regionOf(gate);
     return isNear ? settings_.deployment_.withinRegion_ : settings_.deployment_.betweenRegions_;
--- a/packages/qz_admission/tests/floods/floodrun.h
+++ b/packages/qz_admission/tests/floods/floodsimulation.h
@@ -15,7 +15,7 @@
 
 namespace qz::floods {
 
-struct RankFigures
+struct RankResults
 {
     std::size_t offered_ = 0;
     std::size_t inTarget_ = 0;
@@ -23,9 +23,9 @@
     Duration usedSlotTime_{};
 };
 
-struct RunFigures
+struct SimulationResults
 {
-    std::array<RankFigures, rankCount> ranks_;
+    std::array<RankResults, rankCount> ranks_;
     Duration slotTime_{}; ///< Of all slots in the measured time.
     double worth_ = 0.0;  ///< Of all that the servers completed in the measured time.
     double bound_ = 0.0;
@@ -34,7 +34,7 @@
     std::size_t lateAnswers_ = 0; ///< Requests that took a slot and were not answered in time.
 };
 
-struct RunSettings
+struct SimulationSettings
 {
     Deployment deployment_;
     FloodCase flood_;
@@ -45,14 +45,14 @@
 
 /// Runs eight gates of one policy and the entries before them in simulated time. The same
 /// settings give the same arrivals and service times to every policy.
-class FloodRun
+class FloodSimulation
 {
 public:
     using MakePolicy = std::function<AdmissionPolicy()>;
 
-    FloodRun(RunSettings settings, const MakePolicy &makePolicy);
+    FloodSimulation(SimulationSettings settings, const MakePolicy &makePolicy);
 
-    RunFigures run();
+    SimulationResults run();
 
 private:
     struct Request
@@ -96,7 +96,7 @@
     Duration distance(std::size_t entry, std::size_t gate) const;
     bool isInMeasuredTime(TimePoint time) const { return time >= start_ && time < end_; }
 
-    RunSettings settings_;
+    SimulationSettings settings_;
     std::vector<RankShare> ranks_ = makeRanks();
     std::vector<WorkKind> kinds_ = makeKinds();
     TimePoint now_{ std::chrono::hours(1) };
@@ -111,7 +111,7 @@
     std::vector<Entry> entries_;
     std::vector<Request> requests_;
     std::vector<OfferedWork> offered_; ///< By kind.
-    RunFigures figures_;
+    SimulationResults figures_;
 };
 
 } // namespace qz::floods
--- a/packages/qz_admission/tests/floods/qz_admission_floods.cpp
+++ b/packages/qz_admission/tests/floods/qz_admission_floods.cpp
@@ -1,6 +1,6 @@
 // Measures the admission policies under floods: both users' slots, three ranks, floods of the
 // least and of the most urgent rank, and the policies side by side on the same arrivals.
-#include "floodrun.h"
+#include "floodsimulation.h"
 
 #include <docopt/docopt.h>
 
@@ -57,7 +57,7 @@
     Spread crossRegion_;
     Spread late_;
 
-    void add(const RunFigures &run);
+    void add(const SimulationResults &run);
 };
 
 double percent(double part, double whole)
@@ -70,12 +70,12 @@
     return percent(static_cast<double>(part.count()), static_cast<double>(whole.count()));
 }
 
-void Summary::add(const RunFigures &run)
+void Summary::add(const SimulationResults &run)
 {
     const std::vector<RankShare> shares = makeRanks();
     std::size_t offered = 0;
     for (std::size_t rank = 0; rank < rankCount; ++rank) {
-        const RankFigures &figures = run.ranks_.at(rank);
+        const RankResults &figures = run.ranks_.at(rank);
         const double got = percent(figures.usedSlotTime_, run.slotTime_);
         const double wanted = std::min(100.0 * shares[rank].share_,
                                        percent(figures.offeredSlotTime_, run.slotTime_));
@@ -141,7 +141,7 @@
     goals.print(place, "started and late %", summary.late_, "", true);
 }
 
-const std::vector<FloodRun::MakePolicy> policies{
+const std::vector<FloodSimulation::MakePolicy> policies{
     [] { return FifoPolicy(); },
     [] { return StrictPriorityPolicy(); },
     [] { return SharedRanksPolicy(); },
@@ -166,10 +166,10 @@
                     continue;
                 }
                 Summary summary;
-                RunSettings settings{ deployment, flood };
+                SimulationSettings settings{ deployment, flood };
                 settings.measured_ = measured;
                 for (settings.seed_ = 1; settings.seed_ <= seeds; ++settings.seed_) {
-                    summary.add(FloodRun(settings, makePolicy).run());
+                    summary.add(FloodSimulation(settings, makePolicy).run());
                 }
                 const bool isChosen = &makePolicy == &policies.back();
                 report(deployment.name_ + ", " + flood.name_ + ", " + policy, flood, summary,
--- a/packages/qz_admission/tests/floods/workload.h
+++ b/packages/qz_admission/tests/floods/workload.h
@@ -1,7 +1,7 @@
 // The work, the ranks and the deployments of the flood measurement.
 #pragma once
 
-#include "qz_admission/queue/ticket.h"
+#include "qz_admission/queue/admissionrequest.h"
 
 #include <array>
 #include <string>
--- a/packages/qz_admission/tests/queuedriver.h
+++ b/packages/qz_admission/tests/queuedriver.h
@@ -32,7 +32,7 @@
 
     Result<void> offer(const TestOffer &offer)
     {
-        Ticket ticket;
+        AdmissionRequest ticket;
         ticket.id_ = ++lastId_;
         ticket.rank_ = offer.rank_;
         ticket.workspace_ = WorkspaceId(offer.workspace_);
@@ -44,7 +44,7 @@
     }
 
     /// Lets one request run for @p service; returns its ticket, or one of id 0 if none waits.
-    Ticket runOne(Duration service)
+    AdmissionRequest runOne(Duration service)
     {
         const auto ticket = queue_.startNext(clock_.now());
         clock_.advance(service);
--- a/packages/qz_admission/tests/sharedrankstest.cpp
+++ b/packages/qz_admission/tests/sharedrankstest.cpp
@@ -209,7 +209,7 @@
     BOOST_TEST(!driver.offer({ 2 }).has_value()); // Its share is two of 20 places.
     offerMany(driver, { 1 }, 4);
     BOOST_TEST(driver.queue_.queued() == 20U);
-    BOOST_TEST(driver.queue_.takeDropped(driver.clock_.now()).size() == 6U);
+    BOOST_TEST(driver.queue_.takeDroppedRequests(driver.clock_.now()).size() == 6U);
 }
 
 BOOST_AUTO_TEST_CASE(urgentWorkLeavesTheOthersTheirPlaces)
@@ -242,7 +242,7 @@
     driver.offer({ 0, "ws", "kind", 1.0 }).value();
     const std::uint64_t lesser = driver.lastId();
     BOOST_TEST(driver.offer({ 0, "ws", "kind", 2.0 }).has_value());
-    const auto dropped = driver.queue_.takeDropped(driver.clock_.now());
+    const auto dropped = driver.queue_.takeDroppedRequests(driver.clock_.now());
     BOOST_TEST_REQUIRE(dropped.size() == 1U);
     BOOST_TEST(dropped[0].id_ == lesser);
     BOOST_TEST(!driver.offer({ 0, "ws", "kind", 2.0 }).has_value());
@@ -265,12 +265,12 @@
     while (driver.offer({ 2, "ws", "kind", 1.0, 1.0, deadline }).has_value()) {
     }
     BOOST_TEST(driver.offer({ 2, "ws", "kind", 2.0, 1.0, deadline }).has_value());
-    const auto dropped = driver.queue_.takeDropped(driver.clock_.now());
+    const auto dropped = driver.queue_.takeDroppedRequests(driver.clock_.now());
     BOOST_TEST_REQUIRE(dropped.size() == 1U);
     BOOST_TEST((dropped[0].kind_ == ErrorKind::DeadlineUnreachable));
     // One place can't help a deadline that is far too near, so none is given up.
     BOOST_TEST(!driver.offer({ 2, "ws", "kind", 2.0, 1.0, milliseconds(5) }).has_value());
-    BOOST_TEST(driver.queue_.takeDropped(driver.clock_.now()).empty());
+    BOOST_TEST(driver.queue_.takeDroppedRequests(driver.clock_.now()).empty());
 }
 
 BOOST_AUTO_TEST_CASE(anOverloadedRankIsHeldToItsTarget)
--- a/packages/qz_entries/choice/localfirstchoice.cpp
+++ b/packages/qz_entries/choice/localfirstchoice.cpp
@@ -22,7 +22,7 @@
     CandidateIndexes usable = usableCandidates(candidates);
     const auto firstRemote =
             std::stable_partition(usable.begin(), usable.end(), [&](std::size_t index) {
-                return candidates[index].location_.region_ == request.from_.region_;
+                return candidates[index].location_.region_ == request.origin_.region_;
             });
     const CandidateIndexes remote(firstRemote, usable.end());
     usable.erase(firstRemote, usable.end());
--- a/packages/qz_entries/choice/servercandidate.h
+++ b/packages/qz_entries/choice/servercandidate.h
@@ -32,10 +32,10 @@
 /// What the choice needs to know about a request.
 struct ServerRequest
 {
-    Location from_; ///< Where the entry stands.
+    Location origin_; ///< Where the entry stands.
     std::size_t rank_ = 0;
-    Duration target_{};          ///< Time from now within which its answer is in target.
-    Duration expectedService_{}; ///< Expected time in a slot.
+    Duration target_{};              ///< Time from now within which its answer is in target.
+    Duration expectedServiceTime_{}; ///< Expected time in a slot.
 };
 
 /// The wait for a slot at @p candidate in @p rank. What a digest told counts for less the older
--- a/packages/qz_entries/choice/weighteddraw.cpp
+++ b/packages/qz_entries/choice/weighteddraw.cpp
@@ -29,7 +29,8 @@
 
 Duration expectedAnswer(const ServerCandidate &candidate, const ServerRequest &request)
 {
-    return expectedWait(candidate, request.rank_) + request.expectedService_ + candidate.roundTrip_;
+    return expectedWait(candidate, request.rank_) + request.expectedServiceTime_
+            + candidate.roundTrip_;
 }
 
 CandidateIndexes usableCandidates(const std::vector<ServerCandidate> &candidates)
--- a/packages/qz_entries/directory/entrydirectory.cpp
+++ b/packages/qz_entries/directory/entrydirectory.cpp
@@ -84,7 +84,7 @@
                                          const std::vector<EntryMember> &members) const
 {
     AddressList list;
-    list.keepFor_ = limits_.keepFor_;
+    list.timeToLive_ = limits_.timeToLive_;
     std::set<FailureDomainId> domains;
     std::vector<const EntryMember *> passedOver;
     for (const RatedMember &candidate : rate(query, members)) {
@@ -120,7 +120,7 @@
                               { "failure_domain", entry.location_.failureDomain_.value() },
                               { "region", entry.location_.region_.value() } });
     }
-    const auto keep = std::chrono::duration_cast<std::chrono::milliseconds>(keepFor_);
+    const auto keep = std::chrono::duration_cast<std::chrono::milliseconds>(timeToLive_);
     return { { "addresses", addresses }, { "keep_ms", keep.count() } };
 }
 
--- a/packages/qz_entries/directory/entrydirectory.h
+++ b/packages/qz_entries/directory/entrydirectory.h
@@ -32,7 +32,7 @@
 struct AddressList
 {
     std::vector<EntryMember> entries_;
-    Duration keepFor_{}; ///< After this time the caller should ask again.
+    Duration timeToLive_{}; ///< After this time the caller should ask again.
 
     /// {"addresses": [{"instance", "host", "port", "failure_domain", "region"}], "keep_ms"}
     nlohmann::json toJson() const;
@@ -50,7 +50,7 @@
     {
         std::size_t maxAddresses_ = 4;
         std::size_t minFailureDomains_ = 2; ///< As far as there are members in so many.
-        Duration keepFor_ = std::chrono::seconds(10);
+        Duration timeToLive_ = std::chrono::seconds(10);
     };
 
     explicit EntryDirectory(Limits limits);
--- a/packages/qz_entries/retries/retrybudget.cpp
+++ b/packages/qz_entries/retries/retrybudget.cpp
@@ -5,7 +5,7 @@
 
 namespace qz {
 
-RetryBudget::RetryBudget(RetryLimits limits, TimePoint now)
+RetryBudget::RetryBudget(RetryTokenLimits limits, TimePoint now)
     : limits_(limits)
     , updatedAt_(now)
 {
@@ -13,14 +13,14 @@
 
 void RetryBudget::recordSuccess()
 {
-    add(limits_.perSuccess_);
+    add(limits_.earnedPerSuccess_);
 }
 
-bool RetryBudget::take(TimePoint now)
+bool RetryBudget::tryAcquire(TimePoint now)
 {
     const std::chrono::duration<double> passed = now - updatedAt_;
     updatedAt_ = now;
-    add(passed.count() * limits_.floorPerSecond_);
+    add(passed.count() * limits_.earnedPerSecond_);
     if (tokens_ < 1.0) {
         return false;
     }
@@ -30,7 +30,7 @@
 
 void RetryBudget::add(double tokens)
 {
-    tokens_ = std::min(limits_.maxSaved_, tokens_ + tokens);
+    tokens_ = std::min(limits_.maxTokens_, tokens_ + tokens);
 }
 
 } // namespace qz
--- a/packages/qz_entries/retries/retrybudget.h
+++ b/packages/qz_entries/retries/retrybudget.h
@@ -6,11 +6,11 @@
 namespace qz {
 
 /// The limits of a RetryBudget.
-struct RetryLimits
+struct RetryTokenLimits
 {
-    double perSuccess_ = 0.1;     ///< Retries earned by each successful request.
-    double floorPerSecond_ = 1.0; ///< Retries earned each second without any success.
-    double maxSaved_ = 100.0;     ///< Retries that may be saved up.
+    double earnedPerSuccess_ = 0.1; ///< Retries earned by each successful request.
+    double earnedPerSecond_ = 1.0;  ///< Retries earned each second without any success.
+    double maxTokens_ = 100.0;      ///< Retries that may be saved up.
 };
 
 /// Tokens for retries: earned by successes and slowly by time, spent one for each retry.
@@ -19,21 +19,21 @@
 class RetryBudget
 {
 public:
-    explicit RetryBudget(RetryLimits limits, TimePoint now);
+    explicit RetryBudget(RetryTokenLimits limits, TimePoint now);
 
     /// Counts a request that ended well.
     void recordSuccess();
 
     /// Takes a token for one retry; false if there is none and the retry must not be sent.
-    bool take(TimePoint now);
+    bool tryAcquire(TimePoint now);
 
     double tokens() const { return tokens_; }
 
 private:
     void add(double tokens);
 
-    RetryLimits limits_;
-    double tokens_ = 0.0; ///< 0 to limits_.maxSaved_.
+    RetryTokenLimits limits_;
+    double tokens_ = 0.0; ///< 0 to limits_.maxTokens_.
     TimePoint updatedAt_; ///< The floor is counted up to here.
 };
 
--- a/packages/qz_entries/tests/retrybudgettest.cpp
+++ b/packages/qz_entries/tests/retrybudgettest.cpp
@@ -10,7 +10,7 @@
 int takeAll(qz::RetryBudget &budget, const qz::Clock &clock)
 {
     int taken = 0;
-    while (budget.take(clock.now())) {
+    while (budget.tryAcquire(clock.now())) {
         ++taken;
     }
     return taken;
@@ -37,7 +37,7 @@
     int taken = 0;
     for (int i = 0; i < 1000; ++i) { // 1,000 failures in 10 s.
         clock.advance(std::chrono::milliseconds(10));
-        taken += budget.take(clock.now()) ? 1 : 0;
+        taken += budget.tryAcquire(clock.now()) ? 1 : 0;
     }
     BOOST_TEST(taken >= 19);
     BOOST_TEST(taken <= 20);
--- a/packages/qz_fleet/messages/messagekind.h
+++ b/packages/qz_fleet/messages/messagekind.h
@@ -25,7 +25,7 @@
     OpinionAnswer = 12,
     MembershipGossip = 13, ///< Heartbeats and member updates. @see Membership
     Presence = 14,         ///< An instance is live. @see PresenceDriver
-    HealthNote = 15,       ///< What an instance found out about a backend server.
+    HealthReport = 15,     ///< What an instance found out about a backend server.
     TableRequest = 16,     ///< Asks for a whole table. @see ReplicaExchange
     TableUpdate = 17,      ///< A table's rows, all or those that changed.
     TableVersion = 18,     ///< The sender has this version of a table.
--- a/packages/qz_forward/backends/backend.cpp
+++ b/packages/qz_forward/backends/backend.cpp
@@ -52,7 +52,7 @@
     }
 }
 
-Duration Backend::oldestWait(TimePoint now) const
+Duration Backend::oldestRequestAge(TimePoint now) const
 {
     return begun_.empty() ? Duration::zero() : now - *begun_.begin();
 }
@@ -65,7 +65,7 @@
     return connection.isReusable() && now - connection.idleSince() < kept;
 }
 
-std::unique_ptr<BackendConnection> Backend::takeIdle(bool isRepeatable, TimePoint now)
+std::unique_ptr<BackendConnection> Backend::takeIdleConnection(bool isRepeatable, TimePoint now)
 {
     while (!idle_.empty()) {
         if (!isRepeatable && now - idle_.back()->idleSince() > provenTime) {
@@ -80,7 +80,7 @@
     return nullptr;
 }
 
-void Backend::putIdle(std::unique_ptr<BackendConnection> connection)
+void Backend::returnConnection(std::unique_ptr<BackendConnection> connection)
 {
     connection->setListener(nullptr);
     if (isOpen() && idle_.size() < idleLimit && connection->isReusable()) {
@@ -88,7 +88,7 @@
     }
 }
 
-void Backend::dropIdle(TimePoint now)
+void Backend::closeStaleConnections(TimePoint now)
 {
     const auto isStale = [this, now](const auto &connection) {
         return !isUsable(*connection, now);
--- a/packages/qz_forward/backends/backend.h
+++ b/packages/qz_forward/backends/backend.h
@@ -54,18 +54,18 @@
     /// Ends the request that began at @p begunAt.
     void endRequest(TimePoint begunAt);
     int inFlight() const { return static_cast<int>(begun_.size()); }
-    Duration oldestWait(TimePoint now) const;
+    Duration oldestRequestAge(TimePoint now) const;
 
     /// An idle connection that may still be used, or null. For a request that is not
     /// repeatable only one whose way was proven a moment ago: a new one takes a round trip and
     /// shows without a request whether the server can be reached.
-    std::unique_ptr<BackendConnection> takeIdle(bool isRepeatable, TimePoint now);
-    void putIdle(std::unique_ptr<BackendConnection> connection);
+    std::unique_ptr<BackendConnection> takeIdleConnection(bool isRepeatable, TimePoint now);
+    void returnConnection(std::unique_ptr<BackendConnection> connection);
     /// Closes idle connections that are too old.
-    void dropIdle(TimePoint now);
+    void closeStaleConnections(TimePoint now);
     /// Closes all idle connections: the way to the server has gone silent.
-    void dropAllIdle() { idle_.clear(); }
-    std::size_t idleCount() const { return idle_.size(); }
+    void closeIdleConnections() { idle_.clear(); }
+    std::size_t idleConnectionCount() const { return idle_.size(); }
 
 private:
     bool isUsable(const BackendConnection &connection, TimePoint now) const;
--- a/packages/qz_forward/backends/backendtable.cpp
+++ b/packages/qz_forward/backends/backendtable.cpp
@@ -81,7 +81,7 @@
     }
 }
 
-void BackendTable::startGrace(Duration grace)
+void BackendTable::startRemovalGrace(Duration grace)
 {
     graceUntil_ = loop_.now() + grace;
     graceEnd_ = loop_.callAfter(grace, [this] { endGrace(); });
@@ -126,10 +126,10 @@
     return found == servers_.end() ? nullptr : found->second;
 }
 
-void BackendTable::dropIdle()
+void BackendTable::closeStaleConnections()
 {
     for (const auto &[id, server] : servers_) {
-        server->dropIdle(loop_.now());
+        server->closeStaleConnections(loop_.now());
     }
 }
 
--- a/packages/qz_forward/backends/backendtable.h
+++ b/packages/qz_forward/backends/backendtable.h
@@ -34,7 +34,7 @@
     void replaceAll(const std::vector<ListedBackend> &listed);
 
     /// The list could not be read and can be read again from now on.
-    void startGrace(Duration grace);
+    void startRemovalGrace(Duration grace);
 
     /// Empty if nothing is listed for @p service.
     const std::vector<ServerPtr> &serversOf(const ServiceId &service) const;
@@ -46,7 +46,7 @@
     const std::map<BackendServerId, ServerPtr> &all() const { return servers_; }
 
     /// Closes connections that have been idle for too long.
-    void dropIdle();
+    void closeStaleConnections();
 
 private:
     void erase(const BackendServerId &id);
--- a/packages/qz_forward/observability/forwardmetrics.cpp
+++ b/packages/qz_forward/observability/forwardmetrics.cpp
@@ -49,12 +49,12 @@
             .Observe(std::chrono::duration<double>(took).count());
 }
 
-void ForwardMetrics::countTry(const std::string &service, TryResult result)
+void ForwardMetrics::countAttempt(const std::string &service, AttemptResult result)
 {
     tries_.Add({ { "service", service }, { "result", std::string(toString(result)) } }).Increment();
 }
 
-void ForwardMetrics::countHold(const std::string &service)
+void ForwardMetrics::countEjection(const std::string &service)
 {
     holds_.Add({ { "service", service } }).Increment();
 }
--- a/packages/qz_forward/observability/forwardmetrics.h
+++ b/packages/qz_forward/observability/forwardmetrics.h
@@ -23,8 +23,8 @@
     ForwardMetrics &operator=(const ForwardMetrics &) = delete;
 
     void countRequest(const std::string &service, const std::string &outcome, Duration took);
-    void countTry(const std::string &service, TryResult result);
-    void countHold(const std::string &service);
+    void countAttempt(const std::string &service, AttemptResult result);
+    void countEjection(const std::string &service);
     void countStoreCall(const std::string &call, const std::string &outcome);
     void setConfigVersion(double version);
     void setBackendCount(double count);
--- a/packages/qz_forward/qz_forward.h
+++ b/packages/qz_forward/qz_forward.h
@@ -3,4 +3,4 @@
 
 #include "qz_forward/backends/backendtable.h"
 #include "qz_forward/observability/forwardmetrics.h"
-#include "qz_forward/run/forwarder.h"
+#include "qz_forward/requests/forwarder.h"
--- a/packages/qz_forward/run/forwardtry.cpp
+++ b/packages/qz_forward/requests/forwardattempt.cpp
@@ -1,9 +1,9 @@
 // A try's connection, request and answer.
-#include "qz_forward/run/forwardtry.h"
+#include "qz_forward/requests/forwardattempt.h"
 
 #include "qz_core/logging/logger.h"
-#include "qz_forward/run/forwarder.h"
-#include "qz_forward/run/forwardrun.h"
+#include "qz_forward/requests/forwardedrequest.h"
+#include "qz_forward/requests/forwarder.h"
 
 #include <utility>
 
@@ -16,7 +16,8 @@
 
 } // namespace
 
-ForwardTry::ForwardTry(ForwardRun &run, std::shared_ptr<Backend> server, const Placement &placement)
+ForwardAttempt::ForwardAttempt(ForwardedRequest &run, std::shared_ptr<Backend> server,
+                               const Placement &placement)
     : run_(run)
     , server_(std::move(server))
     , placement_(placement)
@@ -25,22 +26,22 @@
     server_->beginRequest(startedAt_);
 }
 
-ForwardTry::~ForwardTry()
+ForwardAttempt::~ForwardAttempt()
 {
     if (!isEnded_) {
-        finish(TryResult::Cancelled);
+        finish(AttemptResult::Cancelled);
     }
 }
 
-Duration ForwardTry::elapsed() const
+Duration ForwardAttempt::elapsed() const
 {
     return run_.forwarder().loop().now() - startedAt_;
 }
 
-void ForwardTry::start()
+void ForwardAttempt::start()
 {
     Forwarder &forwarder = run_.forwarder();
-    connection_ = server_->takeIdle(run_.isRepeatable(), startedAt_);
+    connection_ = server_->takeIdleConnection(run_.isRepeatable(), startedAt_);
     if (connection_ != nullptr) {
         connection_->setListener(this);
         send();
@@ -50,29 +51,30 @@
                                                       forwarder.settings().silenceLimit_);
     connection_->setListener(this);
     connectTimeout_ = forwarder.loop().callAfter(forwarder.settings().connectTimeout_, [this] {
-        run_.takeTryFailure(*this, failure(ErrorKind::BackendConnectFailed, "connect timed out"));
+        run_.handleAttemptFailure(*this,
+                                  failure(ErrorKind::BackendConnectFailed, "connect timed out"));
     });
 }
 
-void ForwardTry::takeConnected()
+void ForwardAttempt::takeConnected()
 {
     connectTimeout_.reset();
     if (!server_->isOpen()) {
-        run_.takeTryFailure(*this,
-                            failure(ErrorKind::BackendConnectFailed, "the server is leaving"));
+        run_.handleAttemptFailure(
+                *this, failure(ErrorKind::BackendConnectFailed, "the server is leaving"));
         return;
     }
     send();
 }
 
-void ForwardTry::send()
+void ForwardAttempt::send()
 {
     connection_->sendHead(run_.makeRequestHead(*server_));
-    connection_->sendBody(run_.heldBody());
+    connection_->sendBody(run_.bufferedBody());
     continueBody();
 }
 
-void ForwardTry::continueBody()
+void ForwardAttempt::continueBody()
 {
     if (connection_ == nullptr || !connection_->isHandedOver() || isBodyEnded_) {
         return;
@@ -84,7 +86,7 @@
     }
 }
 
-void ForwardTry::takeAnswerHead(HttpHead head)
+void ForwardAttempt::takeAnswerHead(HttpHead head)
 {
     // An answer to an earlier request may come late, where this one's is due.
     const auto id = head.headers_.find(run_.forwarder().settings().headers_.requestId_);
@@ -97,48 +99,48 @@
     hasAnswerHead_ = true;
 }
 
-void ForwardTry::takeAnswerBody(std::string_view data)
+void ForwardAttempt::takeAnswerBody(std::string_view data)
 {
     if (run_.isStreaming(*this)) {
-        run_.streamAnswer(*this, data);
+        run_.streamResponse(*this, data);
         return;
     }
     answerBody_.append(data);
     if (answerBody_.size() > answerBufferBytes && run_.startStreaming(*this)) {
-        run_.streamAnswer(*this, std::exchange(answerBody_, {}));
+        run_.streamResponse(*this, std::exchange(answerBody_, {}));
     }
 }
 
-void ForwardTry::takeAnswerEnd()
+void ForwardAttempt::takeAnswerEnd()
 {
-    run_.takeTryAnswer(*this);
+    run_.handleAttemptResponse(*this);
 }
 
-void ForwardTry::takeFailure(const Error &error)
+void ForwardAttempt::takeFailure(const Error &error)
 {
-    run_.takeTryFailure(*this, error);
+    run_.handleAttemptFailure(*this, error);
 }
 
-void ForwardTry::takeSendDrained()
+void ForwardAttempt::takeSendDrained()
 {
-    run_.pullBody();
+    run_.sendMoreBody();
 }
 
-void ForwardTry::finish(TryResult result)
+void ForwardAttempt::finish(AttemptResult result)
 {
     isEnded_ = true;
     connectTimeout_.reset();
     server_->endRequest(startedAt_);
-    const bool isWhole = result == TryResult::Answered || result == TryResult::ServerError
-            || result == TryResult::Shed;
+    const bool isWhole = result == AttemptResult::Answered || result == AttemptResult::ServerError
+            || result == AttemptResult::Shed;
     if (connection_ != nullptr && isWhole && isBodyEnded_) {
-        server_->putIdle(std::move(connection_));
+        server_->returnConnection(std::move(connection_));
     }
     connection_.reset();
-    if (result == TryResult::Silent || result == TryResult::ConnectFailed) {
-        server_->dropAllIdle();
+    if (result == AttemptResult::Silent || result == AttemptResult::ConnectFailed) {
+        server_->closeIdleConnections();
     }
-    run_.forwarder().recordTry(*server_, result, elapsed(), run_.isRepeatable());
+    run_.forwarder().recordAttempt(*server_, result, elapsed(), run_.isRepeatable());
 }
 
 } // namespace qz
--- a/packages/qz_forward/run/forwardtry.h
+++ b/packages/qz_forward/requests/forwardattempt.h
@@ -11,17 +11,18 @@
 
 namespace qz {
 
-class ForwardRun;
+class ForwardedRequest;
 
 /// Connects or takes an idle connection, sends, and collects the answer. An answer up to the
 /// buffer limit is held until it is whole, so that one that breaks off can be replaced by
 /// that of another server; a longer one is streamed from then on.
-/// @see ForwardRun
-class ForwardTry : private BackendConnectionListener
+/// @see ForwardedRequest
+class ForwardAttempt : private BackendConnectionListener
 {
 public:
-    ForwardTry(ForwardRun &run, std::shared_ptr<Backend> server, const Placement &placement);
-    ~ForwardTry() override;
+    ForwardAttempt(ForwardedRequest &run, std::shared_ptr<Backend> server,
+                   const Placement &placement);
+    ~ForwardAttempt() override;
 
     void start();
 
@@ -32,16 +33,16 @@
 
     Backend &server() { return *server_; }
     const Placement &placement() const { return placement_; }
-    const HttpHead &answerHead() const { return answerHead_; }
-    std::string &answerBody() { return answerBody_; }
-    bool hasAnswerHead() const { return hasAnswerHead_; }
+    const HttpHead &responseHead() const { return answerHead_; }
+    std::string &responseBody() { return answerBody_; }
+    bool hasResponseHead() const { return hasAnswerHead_; }
     bool isHandedOver() const { return connection_ != nullptr && connection_->isHandedOver(); }
     bool isEnded() const { return isEnded_; }
     std::size_t unsentBytes() const { return connection_->unsentBytes(); }
     Duration elapsed() const;
 
     /// Ends the try; its connection is kept if it may carry another request.
-    void finish(TryResult result);
+    void finish(AttemptResult result);
 
 private:
     void takeConnected() override;
@@ -53,7 +54,7 @@
 
     void send();
 
-    ForwardRun &run_;
+    ForwardedRequest &run_;
     std::shared_ptr<Backend> server_;
     const Placement placement_;
     const TimePoint startedAt_;
--- a/packages/qz_forward/run/forwardrun.cpp
+++ b/packages/qz_forward/requests/forwardedrequest.cpp
@@ -1,5 +1,5 @@
 // The course of one request.
-#include "qz_forward/run/forwardrun.h"
+#include "qz_forward/requests/forwardedrequest.h"
 
 #include "qz_core/faults/faultpoint.h"
 #include "qz_core/logging/logger.h"
@@ -62,20 +62,20 @@
 
 } // namespace
 
-ForwardRun::ForwardRun(Forwarder &forwarder, std::shared_ptr<CallerExchange> exchange)
+ForwardedRequest::ForwardedRequest(Forwarder &forwarder, std::shared_ptr<CallerExchange> exchange)
     : forwarder_(forwarder)
     , exchange_(std::move(exchange))
 {
     exchange_->setListener(this);
 }
 
-ForwardRun::~ForwardRun()
+ForwardedRequest::~ForwardedRequest()
 {
     exchange_->setListener(nullptr);
     isEnded_ = true; // Tries that end now must not go on with the request.
 }
 
-void ForwardRun::start()
+void ForwardedRequest::start()
 {
     routes_ = forwarder_.routes();
     const auto id = exchange_->head().headers_.find(forwarder_.settings().headers_.requestId_);
@@ -93,7 +93,7 @@
     }
 }
 
-bool ForwardRun::findRoute()
+bool ForwardedRequest::findRoute()
 {
     if (routes_ == nullptr) {
         fail(failure(ErrorKind::RulesNotInForce, "no configuration has been read yet"));
@@ -108,7 +108,7 @@
     return true;
 }
 
-bool ForwardRun::readDeadline()
+bool ForwardedRequest::readDeadline()
 {
     deadline_ = exchange_->arrivedAt() + route_->timeout_;
     const auto text = exchange_->head().headers_.find(forwarder_.settings().headers_.deadline_);
@@ -124,7 +124,7 @@
     return true;
 }
 
-bool ForwardRun::takeRequestBody()
+bool ForwardedRequest::takeRequestBody()
 {
     isBodyStreamed_ = !exchange_->isBodyComplete();
     body_ = exchange_->takeBody();
@@ -137,7 +137,7 @@
     return true;
 }
 
-HttpHead ForwardRun::makeRequestHead(const Backend &server) const
+HttpHead ForwardedRequest::makeRequestHead(const Backend &server) const
 {
     const ForwardHeaders &names = forwarder_.settings().headers_;
     HttpHead head = exchange_->head();
@@ -157,7 +157,7 @@
     return head;
 }
 
-std::string ForwardRun::takeStreamedBody()
+std::string ForwardedRequest::takeStreamedBody()
 {
     if (!isBodyStreamed_ || exchange_->body().empty()) {
         return {};
@@ -167,12 +167,12 @@
     return data;
 }
 
-bool ForwardRun::isRequestComplete() const
+bool ForwardedRequest::isRequestComplete() const
 {
     return exchange_->isBodyComplete() && exchange_->body().empty();
 }
 
-void ForwardRun::takeMoreBody()
+void ForwardedRequest::takeMoreBody()
 {
     if (routes_ == nullptr) {
         return; // It waits to be started, which takes the body as far as it is here then.
@@ -181,10 +181,10 @@
         fail(failure(ErrorKind::RequestTooLarge, "the body is too large"));
         return;
     }
-    pullBody();
+    sendMoreBody();
 }
 
-void ForwardRun::pullBody()
+void ForwardedRequest::sendMoreBody()
 {
     for (const auto &attempt : tries_) {
         if (!attempt->isEnded() && attempt->unsentBytes() < backlogBytes) {
@@ -193,7 +193,7 @@
     }
 }
 
-std::vector<PlacementCandidate> ForwardRun::makeCandidates() const
+std::vector<PlacementCandidate> ForwardedRequest::makeCandidates() const
 {
     const TimePoint now = forwarder_.loop().now();
     const Duration mean = forwarder_.latency(service_).mean(route_->target_);
@@ -204,15 +204,15 @@
         candidate.distance_ =
                 distanceBetween(forwarder_.settings().location_, server->listed().location_);
         candidate.state_ = server->health().state(now);
-        candidate.heldUntil_ = server->health().heldUntil();
-        candidate.heldSince_ = server->health().heldSince();
+        candidate.ejectedUntil_ = server->health().ejectedUntil();
+        candidate.ejectedSince_ = server->health().ejectedSince();
         candidate.lastSent_ = server->lastSent();
-        candidate.duty_ = forwarder_.dutyFor(*server);
+        candidate.serverRole_ = forwarder_.serverRole(*server);
         candidate.slots_ = server->listed().slots_;
         candidate.inFlight_ = server->inFlight();
-        candidate.slowness_ = server->health().slowness(mean);
-        candidate.oldestWait_ = server->oldestWait(now);
-        candidate.isTried_ =
+        candidate.relativeLatency_ = server->health().relativeLatency(mean);
+        candidate.oldestRequestAge_ = server->oldestRequestAge(now);
+        candidate.wasAttempted_ =
                 std::any_of(tries_.begin(), tries_.end(), [&server](const auto &attempt) {
                     return &attempt->server() == server.get();
                 });
@@ -221,30 +221,30 @@
     return candidates;
 }
 
-PlacementRequest ForwardRun::makePlacementRequest()
+PlacementRequest ForwardedRequest::makePlacementRequest()
 {
     PlacementRequest request;
     request.isRepeatable_ = route_->isRepeatable_;
     request.target_ = route_->target_;
     request.timeLeft_ = deadline_ - forwarder_.loop().now();
     const ServiceLatency &latency = forwarder_.latency(service_);
-    request.expected_ = latency.mean(route_->target_);
-    if (!latency.isKnown()) {
+    request.expectedLatency_ = latency.mean(route_->target_);
+    if (!latency.hasEnoughSamples()) {
         // What is only assumed must not be a reason to refuse.
-        request.expected_ = std::min(request.expected_, request.timeLeft_ / 2);
+        request.expectedLatency_ = std::min(request.expectedLatency_, request.timeLeft_ / 2);
     }
-    request.isSpread_ =
-            forwarder_.servedShare(service_).unserved(forwarder_.loop().now()) > spreadLevel;
+    request.shouldSpread_ = forwarder_.servedShare(service_).failureRate(forwarder_.loop().now())
+            > spreadFailureRate;
     return request;
 }
 
-std::optional<Placement> ForwardRun::choose()
+std::optional<Placement> ForwardedRequest::choose()
 {
     return choosePlacement(makeCandidates(), makePlacementRequest(), forwarder_.settings().costs_,
                            forwarder_.loop().now());
 }
 
-bool ForwardRun::placeNext()
+bool ForwardedRequest::placeNext()
 {
     servers_.clear();
     for (const auto &server : forwarder_.backends().serversOf(service_)) {
@@ -262,31 +262,32 @@
     return true;
 }
 
-void ForwardRun::launch(const Placement &placement)
+void ForwardedRequest::launch(const Placement &placement)
 {
-    tries_.push_back(std::make_unique<ForwardTry>(*this, servers_[placement.index_], placement));
+    tries_.push_back(
+            std::make_unique<ForwardAttempt>(*this, servers_[placement.index_], placement));
     armSecondTry();
     tries_.back()->start();
 }
 
-void ForwardRun::armSecondTry()
+void ForwardedRequest::armSecondTry()
 {
     if (!route_->isRepeatable_ || isBodyStreamed_ || sentCount_ + 1 >= route_->maxAttempts_) {
         return;
     }
-    const Duration high = forwarder_.latency(service_).high(route_->target_);
-    const Duration delay = std::clamp(high, scaled(route_->target_, earliestSecondTry),
+    const Duration percentile90 = forwarder_.latency(service_).percentile90(route_->target_);
+    const Duration delay = std::clamp(percentile90, scaled(route_->target_, earliestSecondTry),
                                       scaled(route_->target_, latestSecondTry));
     secondTryTimer_ = forwarder_.loop().callAfter(delay, [this] { trySecond(); });
 }
 
-bool ForwardRun::hasRunningTry() const
+bool ForwardedRequest::hasRunningTry() const
 {
     return std::any_of(tries_.begin(), tries_.end(),
                        [](const auto &attempt) { return !attempt->isEnded(); });
 }
 
-void ForwardRun::trySecond()
+void ForwardedRequest::trySecond()
 {
     secondTryTimer_.reset();
     int running = 0;
@@ -298,70 +299,72 @@
     }
     const TimePoint now = forwarder_.loop().now();
     RetryAllowance &allowance = forwarder_.allowance(service_);
-    if (allowance.used(now) > earlyTryBudgetPart || !allowance.take(now)) {
+    if (allowance.usedShare(now) > earlyTryBudgetPart || !allowance.tryAcquire(now)) {
         return;
     }
     placeNext();
 }
 
-bool ForwardRun::mayTryAgain() const
+bool ForwardedRequest::mayTryAgain() const
 {
     return !isEnded_ && sentCount_ < route_->maxAttempts_ && connectFailures_ < connectFailureLimit
             && !(isBodyStreamed_ && sentCount_ > 0);
 }
 
-void ForwardRun::tryAgainOrFail(const Error &error)
+void ForwardedRequest::tryAgainOrFail(const Error &error)
 {
     if (hasRunningTry()) {
         return;
     }
     const bool isSecondArrival = sentCount_ > 0;
     const bool isAllowed = mayTryAgain()
-            && (!isSecondArrival || forwarder_.allowance(service_).take(forwarder_.loop().now()));
+            && (!isSecondArrival
+                || forwarder_.allowance(service_).tryAcquire(forwarder_.loop().now()));
     if (!isAllowed || !placeNext()) {
         fail(error);
     }
 }
 
-TryResult ForwardRun::classify(const ForwardTry &attempt) const
+AttemptResult ForwardedRequest::classify(const ForwardAttempt &attempt) const
 {
     const ForwardHeaders &names = forwarder_.settings().headers_;
-    const HttpHead &head = attempt.answerHead();
+    const HttpHead &head = attempt.responseHead();
     if (head.status_ == statusMisdirected) {
-        return TryResult::WrongInstance;
+        return AttemptResult::WrongInstance;
     }
     if (head.headers_.find(names.notRun_)) {
-        return TryResult::Shed;
+        return AttemptResult::Shed;
     }
     if (head.status_ >= firstFailureStatus) {
-        return TryResult::ServerError;
+        return AttemptResult::ServerError;
     }
     // A success without signature or id is not this server's answer to this request.
     const bool isOwn = head.headers_.find(names.seal_) && head.headers_.find(names.requestId_);
-    return head.status_ / 100 == successClass && !isOwn ? TryResult::Cut : TryResult::Answered;
+    return head.status_ / 100 == successClass && !isOwn ? AttemptResult::Cut
+                                                        : AttemptResult::Answered;
 }
 
-void ForwardRun::takeTryAnswer(ForwardTry &attempt)
+void ForwardedRequest::handleAttemptResponse(ForwardAttempt &attempt)
 {
     if (isEnded_) {
         return;
     }
     if (isStreaming(attempt)) {
         exchange_->endReply();
-        endTry(attempt, TryResult::Answered, "streamed");
-        end("answered", attempt.answerHead().status_, "");
+        endTry(attempt, AttemptResult::Answered, "streamed");
+        end("answered", attempt.responseHead().status_, "");
         return;
     }
-    const TryResult result = classify(attempt);
-    const std::string status = std::to_string(attempt.answerHead().status_);
+    const AttemptResult result = classify(attempt);
+    const std::string status = std::to_string(attempt.responseHead().status_);
     switch (result) {
-    case TryResult::Answered:
+    case AttemptResult::Answered:
         deliver(attempt);
         return;
-    case TryResult::ServerError:
+    case AttemptResult::ServerError:
         mayHaveRun_ = true;
         if (route_->isRepeatable_ && mayTryAgain() && sentCount_ + 1 < route_->maxAttempts_
-            && forwarder_.allowance(service_).take(forwarder_.loop().now())) {
+            && forwarder_.allowance(service_).tryAcquire(forwarder_.loop().now())) {
             endTry(attempt, result, status);
             if (hasRunningTry() || placeNext()) {
                 return;
@@ -369,8 +372,8 @@
         }
         deliver(attempt);
         return;
-    case TryResult::Shed:
-    case TryResult::WrongInstance:
+    case AttemptResult::Shed:
+    case AttemptResult::WrongInstance:
         endTry(attempt, result, status);
         tryAgainOrFail(failure(ErrorKind::BackendShed, "the backend servers are full"));
         return;
@@ -385,15 +388,15 @@
     }
 }
 
-void ForwardRun::takeTryFailure(ForwardTry &attempt, const Error &error)
+void ForwardedRequest::handleAttemptFailure(ForwardAttempt &attempt, const Error &error)
 {
     if (isEnded_) {
         return;
     }
     const bool isHandedOver = attempt.isHandedOver();
-    const TryResult sentResult =
-            error.kind_ == ErrorKind::BackendTimeout ? TryResult::Silent : TryResult::Cut;
-    endTry(attempt, isHandedOver ? sentResult : TryResult::ConnectFailed, error.message_);
+    const AttemptResult sentResult =
+            error.kind_ == ErrorKind::BackendTimeout ? AttemptResult::Silent : AttemptResult::Cut;
+    endTry(attempt, isHandedOver ? sentResult : AttemptResult::ConnectFailed, error.message_);
     if (streaming_ == &attempt) {
         exchange_->cut();
         end("cut", 0, error.message_);
@@ -412,15 +415,15 @@
     }
 }
 
-bool ForwardRun::startStreaming(ForwardTry &attempt)
+bool ForwardedRequest::startStreaming(ForwardAttempt &attempt)
 {
-    if (streaming_ != nullptr || isEnded_ || classify(attempt) != TryResult::Answered) {
+    if (streaming_ != nullptr || isEnded_ || classify(attempt) != AttemptResult::Answered) {
         return false;
     }
     streaming_ = &attempt;
     secondTryTimer_.reset();
     deadlineTimer_.reset();
-    HttpHead head = attempt.answerHead();
+    HttpHead head = attempt.responseHead();
     if (head.framing_ == BodyFraming::UntilClose) {
         head.framing_ = BodyFraming::Chunked;
     }
@@ -428,7 +431,7 @@
     return true;
 }
 
-void ForwardRun::streamAnswer(ForwardTry &attempt, std::string_view data)
+void ForwardedRequest::streamResponse(ForwardAttempt &attempt, std::string_view data)
 {
     exchange_->sendBody(data);
     if (exchange_->unsentBytes() > backlogBytes) {
@@ -436,31 +439,31 @@
     }
 }
 
-void ForwardRun::takeDrained()
+void ForwardedRequest::takeDrained()
 {
     if (streaming_ != nullptr && !isEnded_) {
         streaming_->setReading(true);
     }
 }
 
-void ForwardRun::deliver(ForwardTry &attempt)
+void ForwardedRequest::deliver(ForwardAttempt &attempt)
 {
-    HttpHead head = attempt.answerHead();
+    HttpHead head = attempt.responseHead();
     const int status = head.status_;
     if (head.framing_ == BodyFraming::None) {
         exchange_->startReply(std::move(head));
         exchange_->endReply();
     } else {
-        exchange_->reply(std::move(head), attempt.answerBody());
+        exchange_->reply(std::move(head), attempt.responseBody());
     }
     if (!attempt.isEnded()) {
         endTry(attempt, classify(attempt), std::to_string(status));
     }
-    endOtherTries(TryResult::Overtaken);
+    endOtherTries(AttemptResult::Overtaken);
     end("answered", status, "");
 }
 
-void ForwardRun::expire()
+void ForwardedRequest::expire()
 {
     if (isEnded_) {
         return;
@@ -470,20 +473,21 @@
         isSent = isSent || (!attempt->isEnded() && attempt->isHandedOver());
     }
     mayHaveRun_ = mayHaveRun_ || isSent;
-    endOtherTries(TryResult::TimedOut);
+    endOtherTries(AttemptResult::TimedOut);
     fail(failure(ErrorKind::BackendTimeout, "no answer in the time that the request had"));
 }
 
-void ForwardRun::takeCallerGone()
+void ForwardedRequest::takeCallerGone()
 {
     if (isEnded_) {
         return;
     }
-    endOtherTries(TryResult::Cancelled);
+    endOtherTries(AttemptResult::Cancelled);
     end("caller-gone", 0, "the caller closed its connection");
 }
 
-void ForwardRun::endTry(ForwardTry &attempt, TryResult result, const std::string &detail)
+void ForwardedRequest::endTry(ForwardAttempt &attempt, AttemptResult result,
+                              const std::string &detail)
 {
     const bool isSent = attempt.isHandedOver();
     sentCount_ += isSent ? 1 : 0;
@@ -492,7 +496,7 @@
                           toString(distanceBetween(forwarder_.settings().location_,
                                                    attempt.server().listed().location_)) },
                         { "trial", attempt.placement().isTrial_ },
-                        { "expected_ms", toMilliseconds(attempt.placement().expected_) },
+                        { "expected_ms", toMilliseconds(attempt.placement().expectedLatency_) },
                         { "in_flight", attempt.server().inFlight() },
                         { "sent", isSent },
                         { "took_ms", toMilliseconds(attempt.elapsed()) },
@@ -501,16 +505,16 @@
     attempt.finish(result);
 }
 
-void ForwardRun::endOtherTries(TryResult result)
+void ForwardedRequest::endOtherTries(AttemptResult result)
 {
     for (const auto &attempt : tries_) {
         if (!attempt->isEnded()) {
-            endTry(*attempt, attempt->isHandedOver() ? result : TryResult::Cancelled, "");
+            endTry(*attempt, attempt->isHandedOver() ? result : AttemptResult::Cancelled, "");
         }
     }
 }
 
-Duration ForwardRun::retryAfter() const
+Duration ForwardedRequest::retryAfter() const
 {
     Duration wait = shortestRetryAfter;
     if (route_ != nullptr) {
@@ -520,9 +524,9 @@
     return std::min(scaled(wait, spread(forwarder_.random())), longestRetryAfter);
 }
 
-void ForwardRun::fail(const Error &error)
+void ForwardedRequest::fail(const Error &error)
 {
-    endOtherTries(TryResult::Cancelled);
+    endOtherTries(AttemptResult::Cancelled);
     const bool isNotRun = !mayHaveRun_ || isFaultInjected(FaultPoint::NotRunGuessed);
     ErrorKind kind = error.kind_;
     if (isNotRun && kind == ErrorKind::BackendTimeout) {
@@ -545,7 +549,7 @@
         std::string(toString(kind)) + ": " + error.message_);
 }
 
-void ForwardRun::end(const std::string &outcome, int status, const std::string &cause)
+void ForwardedRequest::end(const std::string &outcome, int status, const std::string &cause)
 {
     isEnded_ = true;
     deadlineTimer_.reset();
@@ -572,7 +576,7 @@
               { "outcome", outcome },
               { "cause", cause } });
     }
-    forwarder_.dropLater(this);
+    forwarder_.deleteLater(this);
 }
 
 } // namespace qz
--- a/packages/qz_forward/run/forwardrun.h
+++ b/packages/qz_forward/requests/forwardedrequest.h
@@ -1,8 +1,8 @@
 // One caller's request from its arrival to its answer.
 #pragma once
 
-#include "qz_forward/run/forwarder.h"
-#include "qz_forward/run/forwardtry.h"
+#include "qz_forward/requests/forwardattempt.h"
+#include "qz_forward/requests/forwarder.h"
 #include "qz_http/stream/callerexchange.h"
 
 #include <nlohmann/json.hpp>
@@ -22,30 +22,30 @@
 /// be sent to a second server, also while the first is silent, within the route's attempts
 /// and the retry budget. "Not run" is only told if each server that the request was sent to
 /// said so.
-/// @see Forwarder, ForwardTry
-class ForwardRun : private CallerExchangeListener
+/// @see Forwarder, ForwardAttempt
+class ForwardedRequest : private CallerExchangeListener
 {
 public:
-    ForwardRun(Forwarder &forwarder, std::shared_ptr<CallerExchange> exchange);
-    ~ForwardRun() override;
+    ForwardedRequest(Forwarder &forwarder, std::shared_ptr<CallerExchange> exchange);
+    ~ForwardedRequest() override;
 
     /// Finds the route among those that are in force now, and places the request.
     void start();
 
-    // For ForwardTry.
+    // For ForwardAttempt.
     Forwarder &forwarder() { return forwarder_; }
     const std::string &requestId() const { return requestId_; }
     bool isRepeatable() const { return route_->isRepeatable_; }
     HttpHead makeRequestHead(const Backend &server) const;
-    const std::string &heldBody() const { return body_; }
+    const std::string &bufferedBody() const { return body_; }
     std::string takeStreamedBody();
     bool isRequestComplete() const;
-    void pullBody();
-    bool isStreaming(const ForwardTry &attempt) const { return streaming_ == &attempt; }
-    bool startStreaming(ForwardTry &attempt);
-    void streamAnswer(ForwardTry &attempt, std::string_view data);
-    void takeTryAnswer(ForwardTry &attempt);
-    void takeTryFailure(ForwardTry &attempt, const Error &error);
+    void sendMoreBody();
+    bool isStreaming(const ForwardAttempt &attempt) const { return streaming_ == &attempt; }
+    bool startStreaming(ForwardAttempt &attempt);
+    void streamResponse(ForwardAttempt &attempt, std::string_view data);
+    void handleAttemptResponse(ForwardAttempt &attempt);
+    void handleAttemptFailure(ForwardAttempt &attempt, const Error &error);
 
 private:
     void takeMoreBody() override;
@@ -65,13 +65,13 @@
     void armSecondTry();
     void trySecond();
     void expire();
-    TryResult classify(const ForwardTry &attempt) const;
-    void deliver(ForwardTry &attempt);
+    AttemptResult classify(const ForwardAttempt &attempt) const;
+    void deliver(ForwardAttempt &attempt);
     void fail(const Error &error);
     Duration retryAfter() const;
     bool hasRunningTry() const;
-    void endTry(ForwardTry &attempt, TryResult result, const std::string &detail);
-    void endOtherTries(TryResult result);
+    void endTry(ForwardAttempt &attempt, AttemptResult result, const std::string &detail);
+    void endOtherTries(AttemptResult result);
     void end(const std::string &outcome, int status, const std::string &cause);
 
     Forwarder &forwarder_;
@@ -85,9 +85,9 @@
     bool isBodyStreamed_ = false; ///< The request cannot be sent a second time.
     TimePoint deadline_;
     std::vector<std::shared_ptr<Backend>> servers_; ///< Of the last choice.
-    std::vector<std::unique_ptr<ForwardTry>> tries_;
-    ForwardTry *streaming_ = nullptr; ///< Its answer goes to the caller as it comes.
-    int sentCount_ = 0;               ///< Tries that gave bytes to a connection and have ended.
+    std::vector<std::unique_ptr<ForwardAttempt>> tries_;
+    ForwardAttempt *streaming_ = nullptr; ///< Its answer goes to the caller as it comes.
+    int sentCount_ = 0;                   ///< Tries that gave bytes to a connection and have ended.
     int connectFailures_ = 0;
     bool mayHaveRun_ = false; ///< A server got the request and did not deny running it.
     bool isEnded_ = false;
--- a/packages/qz_forward/run/forwarder.cpp
+++ b/packages/qz_forward/requests/forwarder.cpp
@@ -1,8 +1,8 @@
 // What the requests of an instance share.
-#include "qz_forward/run/forwarder.h"
+#include "qz_forward/requests/forwarder.h"
 
 #include "qz_core/logging/logger.h"
-#include "qz_forward/run/forwardrun.h"
+#include "qz_forward/requests/forwardedrequest.h"
 
 #include <algorithm>
 #include <utility>
@@ -41,23 +41,23 @@
     return allowances_.try_emplace(service, settings_.retryBudget_, slackPart_).first->second;
 }
 
-void Forwarder::startWaiting(Duration limit)
+void Forwarder::deferRequests(Duration limit)
 {
-    waitEnd_ = loop_.callAfter(limit, [this] { endWaiting(); });
+    waitEnd_ = loop_.callAfter(limit, [this] { startDeferredRequests(); });
 }
 
-void Forwarder::endWaiting()
+void Forwarder::startDeferredRequests()
 {
     waitEnd_.reset();
-    for (ForwardRun *run : std::exchange(waiting_, {})) {
+    for (ForwardedRequest *run : std::exchange(waiting_, {})) {
         run->start();
     }
 }
 
 void Forwarder::handle(const std::shared_ptr<CallerExchange> &exchange)
 {
-    auto owned = std::make_unique<ForwardRun>(*this, exchange);
-    ForwardRun &run = *owned;
+    auto owned = std::make_unique<ForwardedRequest>(*this, exchange);
+    ForwardedRequest &run = *owned;
     runs_.emplace(&run, std::move(owned));
     if (waitEnd_ != nullptr && waiting_.size() < waitingLimit) {
         waiting_.push_back(&run);
@@ -66,30 +66,31 @@
     }
 }
 
-ServerDuty Forwarder::dutyFor(const Backend &server) const
+ServerRole Forwarder::serverRole(const Backend &server) const
 {
-    return dutyFinder_ ? dutyFinder_(server) : ServerDuty::Owner;
+    return dutyFinder_ ? dutyFinder_(server) : ServerRole::Owner;
 }
 
-void Forwarder::recordTry(Backend &server, TryResult result, Duration took, bool isRepeatable)
+void Forwarder::recordAttempt(Backend &server, AttemptResult result, Duration took,
+                              bool isRepeatable)
 {
     const TimePoint now = loop_.now();
     const auto before = server.health().state(now);
     const ServiceId &service = server.listed().service_;
-    metrics_.countTry(service.value(), result);
-    if (result == TryResult::Answered) {
+    metrics_.countAttempt(service.value(), result);
+    if (result == AttemptResult::Answered) {
         latencies_[service].record(took, now);
     }
     if (server.health().record(result, took, isRepeatable, now)) {
-        const Duration hold = server.health().heldUntil() - now;
-        metrics_.countHold(service.value());
+        const Duration hold = server.health().ejectedUntil() - now;
+        metrics_.countEjection(service.value());
         log(LogLevel::Info, "server-held",
             { { "server", server.listed().id_.value() },
               { "service", service.value() },
               { "cause", toString(result) },
               { "hold_ms", std::chrono::duration_cast<std::chrono::milliseconds>(hold).count() },
               { "in_flight", server.inFlight() } });
-        if (healthListener_ && isOfServer(result)) {
+        if (healthListener_ && isServerFault(result)) {
             healthListener_(server, hold);
         }
         return;
@@ -104,14 +105,14 @@
     }
 }
 
-void Forwarder::dropLater(ForwardRun *run)
+void Forwarder::deleteLater(ForwardedRequest *run)
 {
     ended_.insert(run);
     waiting_.erase(std::remove(waiting_.begin(), waiting_.end(), run), waiting_.end());
     if (drop_ == nullptr) {
         drop_ = loop_.callAfter(Duration::zero(), [this] {
             drop_.reset();
-            for (ForwardRun *ended : std::exchange(ended_, {})) {
+            for (ForwardedRequest *ended : std::exchange(ended_, {})) {
                 runs_.erase(ended);
             }
         });
--- a/packages/qz_forward/run/forwarder.h
+++ b/packages/qz_forward/requests/forwarder.h
@@ -4,7 +4,7 @@
 #include "qz_core/loop/eventloop.h"
 #include "qz_forward/backends/backendtable.h"
 #include "qz_forward/observability/forwardmetrics.h"
-#include "qz_forward/run/forwardheaders.h"
+#include "qz_forward/requests/forwardheaders.h"
 #include "qz_http/stream/callerexchange.h"
 #include "qz_placement/qz_placement.h"
 #include "qz_routing/qz_routing.h"
@@ -18,7 +18,7 @@
 
 namespace qz {
 
-class ForwardRun;
+class ForwardedRequest;
 
 /// What the forwarding of requests is set to.
 struct ForwardSettings
@@ -26,7 +26,7 @@
     Location location_; ///< Of this instance.
     ForwardHeaders headers_;
     RetryBudgetLimits retryBudget_;
-    PlacementCosts costs_;
+    PlacementSettings costs_;
     /// Ends a connection to a backend server that went silent.
     Duration silenceLimit_ = std::chrono::seconds(2);
     /// For a new connection to a backend server; another one is tried then.
@@ -35,7 +35,7 @@
 
 /// The requests of one instance, with what they share: the routes in force, the backend
 /// servers, latencies and retry budgets by service.
-/// @see ForwardRun
+/// @see ForwardedRequest
 class Forwarder
 {
 public:
@@ -54,24 +54,24 @@
     const std::shared_ptr<const RoutingTable> &routes() const { return routes_; }
 
     /// Tells this instance's duty for a server; without it, it owns each.
-    using DutyFinder = std::function<ServerDuty(const Backend &server)>;
-    void setDutyFinder(DutyFinder finder) { dutyFinder_ = std::move(finder); }
+    using ServerRoleProvider = std::function<ServerRole(const Backend &server)>;
+    void setServerRoleProvider(ServerRoleProvider finder) { dutyFinder_ = std::move(finder); }
 
     void setHealthListener(HealthListener listener) { healthListener_ = std::move(listener); }
 
     /// This instance's part of the slack of retry budgets. @see RetryAllowance
     void setSlackPart(double slackPart);
 
-    /// Requests that come from now on wait for endWaiting(), or until @p limit has passed: the
-    /// instance has just started, and routes and servers are on their way.
-    void startWaiting(Duration limit);
-    void endWaiting();
+    /// Requests that come from now on wait for startDeferredRequests(), or until @p limit has
+    /// passed: the instance has just started, and routes and servers are on their way.
+    void deferRequests(Duration limit);
+    void startDeferredRequests();
 
     void handle(const std::shared_ptr<CallerExchange> &exchange);
 
-    std::size_t runningCount() const { return runs_.size(); }
+    std::size_t activeRequestCount() const { return runs_.size(); }
 
-    // For ForwardRun.
+    // For ForwardedRequest.
     EventLoop &loop() { return loop_; }
     const ForwardSettings &settings() const { return settings_; }
     ForwardMetrics &metrics() { return metrics_; }
@@ -83,10 +83,10 @@
     ServiceLatency &latency(const ServiceId &service) { return latencies_[service]; }
     RetryAllowance &allowance(const ServiceId &service);
     std::mt19937_64 &random() { return random_; }
-    ServedShare &servedShare(const ServiceId &service) { return servedShares_[service]; }
-    void recordTry(Backend &server, TryResult result, Duration took, bool isRepeatable);
-    ServerDuty dutyFor(const Backend &server) const;
-    void dropLater(ForwardRun *run);
+    FailureRateTracker &servedShare(const ServiceId &service) { return servedShares_[service]; }
+    void recordAttempt(Backend &server, AttemptResult result, Duration took, bool isRepeatable);
+    ServerRole serverRole(const Backend &server) const;
+    void deleteLater(ForwardedRequest *run);
 
 private:
     EventLoop &loop_;
@@ -98,14 +98,14 @@
     std::map<ServiceId, ServiceLatency> latencies_;
     std::map<ServiceId, RetryAllowance> allowances_;
     double slackPart_ = 0.0;
-    std::map<ServiceId, ServedShare> servedShares_;
+    std::map<ServiceId, FailureRateTracker> servedShares_;
     HealthListener healthListener_;
-    DutyFinder dutyFinder_;
+    ServerRoleProvider dutyFinder_;
     std::mt19937_64 random_;
-    std::map<ForwardRun *, std::unique_ptr<ForwardRun>> runs_;
-    std::vector<ForwardRun *> waiting_; ///< In runs_, not started.
-    Timers::HandlePtr waitEnd_;         ///< Set while requests wait.
-    std::set<ForwardRun *> ended_;      ///< Dropped on the loop's next turn.
+    std::map<ForwardedRequest *, std::unique_ptr<ForwardedRequest>> runs_;
+    std::vector<ForwardedRequest *> waiting_; ///< In runs_, not started.
+    Timers::HandlePtr waitEnd_;               ///< Set while requests wait.
+    std::set<ForwardedRequest *> ended_;      ///< Dropped on the loop's next turn.
     Timers::HandlePtr drop_;
 };
 
--- a/packages/qz_forward/tests/backendtabletest.cpp
+++ b/packages/qz_forward/tests/backendtabletest.cpp
@@ -28,7 +28,7 @@
     qz::BackendTable table(loop);
     table.put(makeListed("a", 1));
     const auto before = table.find(idA);
-    before->health().record(qz::TryResult::Cut, 1ms, true, loop.now());
+    before->health().record(qz::AttemptResult::Cut, 1ms, true, loop.now());
     table.put(makeListed("a", 1));
     BOOST_CHECK(table.find(idA) == before);
     table.put(makeListed("a", 2));
@@ -55,7 +55,7 @@
     qz::BackendTable table(loop);
     table.put(makeListed("a"));
     table.put(makeListed("b"));
-    table.startGrace(100ms);
+    table.startRemovalGrace(100ms);
     table.replaceAll({});
     BOOST_TEST(table.serversOf(service).size() == 2);
     table.put(makeListed("a")); // It is back in time.
--- a/packages/qz_forward/tests/forwardertest.cpp
+++ b/packages/qz_forward/tests/forwardertest.cpp
@@ -155,11 +155,11 @@
 {
     Fixture fixture;
     fixture.addServer("a", answering(goodAnswer));
-    fixture.forwarder_.startWaiting(1s);
+    fixture.forwarder_.deferRequests(1s);
     BOOST_TEST(fixture.ask(100ms).empty());
-    BOOST_TEST(fixture.forwarder_.runningCount() == 1);
+    BOOST_TEST(fixture.forwarder_.activeRequestCount() == 1);
     fixture.setRoute(false);
-    fixture.forwarder_.endWaiting();
+    fixture.forwarder_.startDeferredRequests();
     fixture.loop_.runFor(200ms);
     BOOST_TEST(statusOf(fixture.client_->received()) == 200);
 }
@@ -167,7 +167,7 @@
 BOOST_AUTO_TEST_CASE(whatCannotBeServedAfterTheWaitIsRefusedAndLaterAtOnce)
 {
     Fixture fixture;
-    fixture.forwarder_.startWaiting(100ms);
+    fixture.forwarder_.deferRequests(100ms);
     BOOST_TEST(statusOf(fixture.ask(200ms)) == 503);
     BOOST_TEST(statusOf(fixture.ask(50ms)) == 503);
 }
@@ -175,12 +175,12 @@
 BOOST_AUTO_TEST_CASE(aCallerThatLeavesWhileItsRequestWaitsIsForgotten)
 {
     Fixture fixture;
-    fixture.forwarder_.startWaiting(1s);
+    fixture.forwarder_.deferRequests(1s);
     fixture.ask(50ms);
     fixture.client_->close();
     fixture.loop_.runFor(50ms);
-    BOOST_TEST(fixture.forwarder_.runningCount() == 0);
-    fixture.forwarder_.endWaiting();
+    BOOST_TEST(fixture.forwarder_.activeRequestCount() == 0);
+    fixture.forwarder_.startDeferredRequests();
 }
 
 BOOST_AUTO_TEST_CASE(nonRepeatableWorkIsNeverSentAgainAfterAReset)
@@ -422,10 +422,10 @@
     fixture.setRoute(true);
     fixture.addServer("a", [](bufferevent * /*stream*/, int /*reads*/) {});
     fixture.ask(100ms);
-    BOOST_TEST(fixture.forwarder_.runningCount() == 1);
+    BOOST_TEST(fixture.forwarder_.activeRequestCount() == 1);
     fixture.client_->close();
     fixture.loop_.runFor(100ms);
-    BOOST_TEST(fixture.forwarder_.runningCount() == 0);
+    BOOST_TEST(fixture.forwarder_.activeRequestCount() == 0);
     BOOST_TEST(fixture.backends_.find(qz::BackendServerId("a"))->inFlight() == 0);
 }
 
--- a/packages/qz_gates/directory/gatemap.cpp
+++ b/packages/qz_gates/directory/gatemap.cpp
@@ -35,7 +35,7 @@
     if (near != liveByDomain_.end()) {
         append(near->second);
     }
-    if (order.size() < wantedGates) {
+    if (order.size() < minCandidates) {
         std::vector<std::string> others;
         for (const auto &[domain, names] : liveByDomain_) {
             if (domain != own) {
--- a/packages/qz_gates/directory/gatemap.h
+++ b/packages/qz_gates/directory/gatemap.h
@@ -25,7 +25,7 @@
     const std::vector<InstanceId> &gatesOf(const ListedBackendServer &server) const;
 
 private:
-    static constexpr std::size_t wantedGates = 3;
+    static constexpr std::size_t minCandidates = 3;
 
     std::map<FailureDomainId, std::vector<std::string>> liveByDomain_;
     mutable std::unordered_map<BackendServerId, std::vector<InstanceId>> orders_;
--- a/packages/qz_gates/gate/backendexchange.cpp
+++ b/packages/qz_gates/gate/backendresponse.cpp
@@ -1,5 +1,5 @@
 // How a backend server's answer or failure is understood.
-#include "qz_gates/gate/backendexchange.h"
+#include "qz_gates/gate/backendresponse.h"
 
 namespace qz {
 
@@ -11,7 +11,7 @@
 
 } // namespace
 
-Result<HttpResponse> recognizeShedding(Result<HttpResponse> result)
+Result<HttpResponse> mapShedResponse(Result<HttpResponse> result)
 {
     if (result.has_error()) {
         return result;
--- a/packages/qz_gates/gate/backendexchange.h
+++ b/packages/qz_gates/gate/backendresponse.h
@@ -9,7 +9,7 @@
 
 /// Turns an answer by which the server says that it did not take the request into
 /// BackendShed: status 429, or 503 with Retry-After. Any other answer stays as it is.
-Result<HttpResponse> recognizeShedding(Result<HttpResponse> result);
+Result<HttpResponse> mapShedResponse(Result<HttpResponse> result);
 
 /// Whether the server says on this answer that it takes no new work: X-Backend-State: draining.
 bool announcesDrain(const HttpResponse &response);
--- a/packages/qz_gates/gate/gate.cpp
+++ b/packages/qz_gates/gate/gate.cpp
@@ -1,7 +1,7 @@
 // The gate of one backend server.
 #include "qz_gates/gate/gate.h"
 
-#include "qz_gates/gate/backendexchange.h"
+#include "qz_gates/gate/backendresponse.h"
 
 #include <utility>
 
@@ -29,9 +29,9 @@
     return builder.build();
 }
 
-Ticket makeTicket(std::uint64_t id, const ExecuteRequest &request, TimePoint deadline)
+AdmissionRequest makeTicket(std::uint64_t id, const ExecuteRequest &request, TimePoint deadline)
 {
-    Ticket ticket;
+    AdmissionRequest ticket;
     ticket.id_ = id;
     ticket.rank_ = request.rank_;
     ticket.workspace_ = request.workspace_;
@@ -96,7 +96,7 @@
         return;
     }
     connections_.cancel(*pending.connection_);
-    evidence_.forget(pending.flight_);
+    evidence_.discard(pending.flight_);
     queue_.finish(id, loop_.now(), false);
     fail(id, ErrorKind::CallerGone, "cancelled while running");
     startWaiting();
@@ -104,10 +104,10 @@
 
 void Gate::tick()
 {
-    for (const Dropped &dropped : queue_.takeDropped(loop_.now())) {
+    for (const DroppedRequest &dropped : queue_.takeDroppedRequests(loop_.now())) {
         fail(dropped.id_, dropped.kind_, "left the queue without a slot");
     }
-    verdict_ = detector_.judge(evidence_.digest(loop_.now()), others_);
+    verdict_ = detector_.evaluate(evidence_.digest(loop_.now()), others_);
     weight_.update(verdict_, loop_.now());
     startWaiting();
 }
@@ -161,7 +161,7 @@
     const RequestId requestId = pending.request_.requestId_;
     const auto ticket =
             connections_.send(request, requestId, left, [this, id](Result<HttpResponse> result) {
-                finish(id, recognizeShedding(std::move(result)));
+                finish(id, mapShedResponse(std::move(result)));
             });
     const auto started = requests_.find(id);
     if (started != requests_.end()) {
@@ -204,7 +204,7 @@
     ids_.erase(pending.request_.requestId_);
     answer.requestId_ = pending.request_.requestId_;
     answer.server_ = server_;
-    answer.digest_ = digest(pending.request_.kind_);
+    answer.loadReport_ = digest(pending.request_.kind_);
     pending.done_(std::move(answer));
 }
 
@@ -222,9 +222,9 @@
     return request;
 }
 
-GateDigest Gate::digest(const std::string &kind) const
+GateLoadReport Gate::digest(const std::string &kind) const
 {
-    GateDigest digest;
+    GateLoadReport digest;
     digest.queued_ = queue_.queued();
     digest.running_ = queue_.running();
     digest.slots_ = queue_.slots();
@@ -232,7 +232,7 @@
         digest.waitByRank_.push_back(queue_.estimatedWait(rank, loop_.now()));
     }
     digest.weight_ = closedFor_ ? 0.0 : weight_.weight();
-    digest.expectedService_ = queue_.expectedService(kind);
+    digest.expectedServiceTime_ = queue_.expectedServiceTime(kind);
     return digest;
 }
 
--- a/packages/qz_gates/gate/gate.h
+++ b/packages/qz_gates/gate/gate.h
@@ -64,7 +64,7 @@
     bool isDrainAnnounced() const { return isDrainAnnounced_; }
 
     std::size_t requestCount() const { return requests_.size(); }
-    GateDigest digest(const std::string &kind) const;
+    GateLoadReport digest(const std::string &kind) const;
     nlohmann::json dumpState() const;
 
 private:
@@ -74,7 +74,7 @@
         Done done_;
         TimePoint deadline_;
         std::optional<HttpClientPool::Ticket> connection_; ///< Set while it runs.
-        ServerEvidence::FlightId flight_ = 0;
+        ServerEvidence::InFlightId flight_ = 0;
         TimePoint startedAt_;
     };
     using Requests = std::map<std::uint64_t, Pending>;
--- a/packages/qz_gates/messages/executemessages.h
+++ b/packages/qz_gates/messages/executemessages.h
@@ -43,16 +43,16 @@
 };
 
 /// The state of a gate's queue and the weight of its backend server, told on each answer.
-struct GateDigest
+struct GateLoadReport
 {
     std::uint64_t queued_ = 0;
     std::uint64_t running_ = 0;
     std::int32_t slots_ = 1;
     std::vector<Duration> waitByRank_;
-    double weight_ = 1.0;        ///< 0..1, by health.
-    Duration expectedService_{}; ///< Of the kind that the answer is about; zero if unknown.
+    double weight_ = 1.0;            ///< 0..1, by health.
+    Duration expectedServiceTime_{}; ///< Of the kind that the answer is about; zero if unknown.
 
-    MSGPACK_DEFINE_ARRAY(queued_, running_, slots_, waitByRank_, weight_, expectedService_)
+    MSGPACK_DEFINE_ARRAY(queued_, running_, slots_, waitByRank_, weight_, expectedServiceTime_)
 };
 
 /// What became of a request at a gate.
@@ -65,10 +65,10 @@
     std::int32_t status_ = 0;
     std::vector<HeaderField> headers_;
     std::string body_;
-    GateDigest digest_;
+    GateLoadReport loadReport_;
 
     MSGPACK_DEFINE_ARRAY(requestId_, server_, errorKind_, errorMessage_, status_, headers_, body_,
-                         digest_)
+                         loadReport_)
 };
 
 /// The caller of a request has gone.
--- a/packages/qz_gates/qz_gates.h
+++ b/packages/qz_gates/qz_gates.h
@@ -6,7 +6,7 @@
 
 #include "qz_gates/directory/backenddirectory.h"
 #include "qz_gates/directory/gatemap.h"
-#include "qz_gates/gate/backendexchange.h"
+#include "qz_gates/gate/backendresponse.h"
 #include "qz_gates/gate/gate.h"
 #include "qz_gates/gate/gateset.h"
 #include "qz_gates/messages/executemessages.h"
--- a/packages/qz_health/detection/consecutiveerrorsdetector.cpp
+++ b/packages/qz_health/detection/consecutiveerrorsdetector.cpp
@@ -4,8 +4,8 @@
 
 namespace qz {
 
-Verdict ConsecutiveErrorsDetector::judge(const EvidenceDigest &own,
-                                         const std::vector<EvidenceDigest> & /*others*/) const
+Verdict ConsecutiveErrorsDetector::evaluate(const EvidenceDigest &own,
+                                            const std::vector<EvidenceDigest> & /*others*/) const
 {
     constexpr double errorsToEject = 5;
     if (own.total() == 0) {
--- a/packages/qz_health/detection/consecutiveerrorsdetector.h
+++ b/packages/qz_health/detection/consecutiveerrorsdetector.h
@@ -13,7 +13,7 @@
 class ConsecutiveErrorsDetector
 {
 public:
-    Verdict judge(const EvidenceDigest &own, const std::vector<EvidenceDigest> &others) const;
+    Verdict evaluate(const EvidenceDigest &own, const std::vector<EvidenceDigest> &others) const;
 };
 
 } // namespace qz
--- a/packages/qz_health/detection/outlierdetector.cpp
+++ b/packages/qz_health/detection/outlierdetector.cpp
@@ -7,10 +7,10 @@
 {
 }
 
-Verdict OutlierDetector::judge(const EvidenceDigest &own,
-                               const std::vector<EvidenceDigest> &others) const
+Verdict OutlierDetector::evaluate(const EvidenceDigest &own,
+                                  const std::vector<EvidenceDigest> &others) const
 {
-    return std::visit([&](const auto &policy) { return policy.judge(own, others); }, policy_);
+    return std::visit([&](const auto &policy) { return policy.evaluate(own, others); }, policy_);
 }
 
 } // namespace qz
--- a/packages/qz_health/detection/outlierdetector.h
+++ b/packages/qz_health/detection/outlierdetector.h
@@ -23,7 +23,7 @@
 
     /// Judges the server behind @p own; @p others are the digests of the service's other
     /// servers.
-    Verdict judge(const EvidenceDigest &own, const std::vector<EvidenceDigest> &others) const;
+    Verdict evaluate(const EvidenceDigest &own, const std::vector<EvidenceDigest> &others) const;
 
 private:
     Policy policy_;
--- a/packages/qz_health/detection/relativedetector.cpp
+++ b/packages/qz_health/detection/relativedetector.cpp
@@ -44,7 +44,7 @@
 
 Verdict verdictOf(Verdict::State state, double confidence, const EvidenceDigest &own)
 {
-    if (own.troubleSpan() < minTroubleSpan) {
+    if (own.unhealthyTime() < minTroubleSpan) {
         confidence = std::min(confidence, shortOfEjection);
     }
     return Verdict{ state, confidence };
@@ -58,8 +58,8 @@
 
 } // namespace
 
-Verdict RelativeDetector::judge(const EvidenceDigest &own,
-                                const std::vector<EvidenceDigest> &others) const
+Verdict RelativeDetector::evaluate(const EvidenceDigest &own,
+                                   const std::vector<EvidenceDigest> &others) const
 {
     const double slow = relative(own, others, [](const auto &d) { return d.slowScore_; });
     const double fail = relative(own, others, [](const auto &d) { return d.failScore_; });
--- a/packages/qz_health/detection/relativedetector.h
+++ b/packages/qz_health/detection/relativedetector.h
@@ -14,7 +14,7 @@
 class RelativeDetector
 {
 public:
-    Verdict judge(const EvidenceDigest &own, const std::vector<EvidenceDigest> &others) const;
+    Verdict evaluate(const EvidenceDigest &own, const std::vector<EvidenceDigest> &others) const;
 };
 
 } // namespace qz
--- a/packages/qz_health/detection/successratedetector.cpp
+++ b/packages/qz_health/detection/successratedetector.cpp
@@ -17,8 +17,8 @@
 
 } // namespace
 
-Verdict SuccessRateDetector::judge(const EvidenceDigest &own,
-                                   const std::vector<EvidenceDigest> &others) const
+Verdict SuccessRateDetector::evaluate(const EvidenceDigest &own,
+                                      const std::vector<EvidenceDigest> &others) const
 {
     if (own.total() < minRequests) {
         return Verdict{ NoEvidence{}, 0 };
--- a/packages/qz_health/detection/verdict.h
+++ b/packages/qz_health/detection/verdict.h
@@ -37,13 +37,13 @@
     static constexpr double ejectConfidence = 1.0;
 
     /// The server is in trouble as far as the evidence goes.
-    bool isSick() const
+    bool isUnhealthy() const
     {
         return !std::holds_alternative<Healthy>(state_)
                 && !std::holds_alternative<NoEvidence>(state_);
     }
-    bool isDoubt() const { return isSick() && confidence_ >= weightConfidence; }
-    bool allowsEjection() const { return isSick() && confidence_ >= ejectConfidence; }
+    bool isSuspect() const { return isUnhealthy() && confidence_ >= weightConfidence; }
+    bool allowsEjection() const { return isUnhealthy() && confidence_ >= ejectConfidence; }
 };
 
 } // namespace qz
--- a/packages/qz_health/ejection/ejectiondecider.cpp
+++ b/packages/qz_health/ejection/ejectiondecider.cpp
@@ -36,31 +36,31 @@
     members_ = std::move(members);
 }
 
-void EjectionDecider::takeReport(const GateReport &report, TimePoint now)
+void EjectionDecider::onReport(const GateReport &report, TimePoint now)
 {
-    review_.takeReport(report, now);
-    if (!report.actsOnEjection_) {
+    review_.onReport(report, now);
+    if (!report.enforcesEjection_) {
         RowVersion &confirmed = confirmed_[report.server_];
         confirmed = std::max(confirmed, report.rowVersion_);
     }
 }
 
-void EjectionDecider::takeOpinion(const SecondOpinion &opinion, TimePoint now)
+void EjectionDecider::onOpinion(const SecondOpinion &opinion, TimePoint now)
 {
-    review_.takeOpinion(opinion, now);
+    review_.onOpinion(opinion, now);
 }
 
-void EjectionDecider::takeProbe(const BackendServerId &server, bool good, TimePoint now)
+void EjectionDecider::onProbeResult(const BackendServerId &server, bool good, TimePoint now)
 {
-    probes_.takeProbe(server, good, now);
+    probes_.onProbeResult(server, good, now);
 }
 
-void EjectionDecider::takeRow(const std::optional<TableRow> &row, TimePoint now)
+void EjectionDecider::onRowRead(const std::optional<TableRow> &row, TimePoint now)
 {
     if (row) {
         auto decoded = decodeEjectionRow(row->value_);
         if (!decoded) {
-            takeReadFailure(now);
+            onReadFailed(now);
             return;
         }
         row_ = std::move(decoded.value());
@@ -71,13 +71,13 @@
     trackPhases(now);
 }
 
-void EjectionDecider::takeReadFailure(TimePoint now)
+void EjectionDecider::onReadFailed(TimePoint now)
 {
     tableState_ = TableState::NeedsRead;
     retryAt_ = now + readRetryPeriod;
 }
 
-void EjectionDecider::takeWriteEnd()
+void EjectionDecider::onWriteDone()
 {
     tableState_ = TableState::NeedsRead;
 }
@@ -119,11 +119,11 @@
     addWithdrawals(next, now);
     clearWithdrawals(next, now);
     completeReadmissions(next);
-    decayStrikes(next, now);
+    decayRecentEjections(next, now);
     readmitReady(next);
     readmitForFloor(next, now, plan);
     eject(next, review.candidates_);
-    next.dropPlainEntries();
+    next.removeDefaultEntries();
     return next;
 }
 
@@ -206,7 +206,7 @@
         ServerEntry &entry = row.servers_[*server];
         entry.phase_ = EjectionPhase::Readmitting;
         expected += entry.withdrawal_ == Withdrawal::None ? findMember(*server)->slots_ : 0;
-        plan.suspensions_.push_back(*server);
+        plan.suspendedEjections_.push_back(*server);
     }
 }
 
@@ -219,24 +219,24 @@
             || !row.entryOf(candidate.server_).countsAsHealthy()) {
             continue;
         }
-        if (!countCapacity(row, members_, floor_).canSpare(member->slots_)) {
+        if (!countCapacity(row, members_, floor_).canEject(member->slots_)) {
             continue;
         }
         ServerEntry &entry = row.servers_[candidate.server_];
         entry.phase_ = EjectionPhase::Ejected;
-        ++entry.strikes_;
-        entry.holdDown_ = HoldDown::after(entry.strikes_);
+        ++entry.recentEjections_;
+        entry.holdDown_ = HoldDown::after(entry.recentEjections_);
     }
 }
 
-void EjectionDecider::decayStrikes(EjectionRow &row, TimePoint now) const
+void EjectionDecider::decayRecentEjections(EjectionRow &row, TimePoint now) const
 {
     for (auto &[server, entry] : row.servers_) {
         const auto seen = phases_.find(server);
         const bool isDue =
                 seen != phases_.end() && now - seen->second.since_ >= HoldDown::decayPeriod;
-        if (entry.phase_ == EjectionPhase::InService && entry.strikes_ > 0 && isDue) {
-            --entry.strikes_;
+        if (entry.phase_ == EjectionPhase::InService && entry.recentEjections_ > 0 && isDue) {
+            --entry.recentEjections_;
         }
     }
 }
@@ -264,9 +264,10 @@
 {
     for (const auto &[server, entry] : row_.servers_) {
         SeenPhase &seen = phases_[server];
-        const bool isSame = seen.phase_ == entry.phase_ && seen.strikes_ == entry.strikes_;
+        const bool isSame =
+                seen.phase_ == entry.phase_ && seen.recentEjections_ == entry.recentEjections_;
         if (seen.version_ == 0 || !isSame) {
-            seen = SeenPhase{ entry.phase_, entry.strikes_, version_, now };
+            seen = SeenPhase{ entry.phase_, entry.recentEjections_, version_, now };
         }
         if (entry.phase_ == EjectionPhase::Ejected) {
             probes_.track(server, entry.holdDown_, now);
--- a/packages/qz_health/ejection/ejectiondecider.h
+++ b/packages/qz_health/ejection/ejectiondecider.h
@@ -1,10 +1,10 @@
 // The decider of a service's ejections: a state machine without sockets, timers or clock.
 #pragma once
 
+#include "qz_health/ejection/ejectionreview.h"
 #include "qz_health/ejection/ejectionrow.h"
 #include "qz_health/ejection/readmissionprobes.h"
 #include "qz_health/ejection/servicecapacity.h"
-#include "qz_health/ejection/sicknessreview.h"
 #include "qz_platform/table/table.h"
 
 #include <map>
@@ -17,9 +17,9 @@
 /// What a decider wants done now.
 struct EjectionPlan
 {
-    bool read_ = false;                        ///< Read the row and pass it to takeRow().
-    std::optional<TableWrite> write_;          ///< Commit it and pass its end to takeWriteEnd().
-    std::vector<BackendServerId> suspensions_; ///< Gates take these back at once.
+    bool read_ = false;               ///< Read the row and pass it to onRowRead().
+    std::optional<TableWrite> write_; ///< Commit it and pass its end to onWriteDone().
+    std::vector<BackendServerId> suspendedEjections_; ///< Gates take these back at once.
     std::vector<BackendServerId> probes_;
     std::vector<OpinionRequest> opinionRequests_;
     std::vector<GateMove> gateMoves_;
@@ -49,18 +49,18 @@
     /// The service's servers by rules and list; to be called at each change.
     void setMembers(std::vector<ServiceMember> members, TimePoint now);
 
-    void takeReport(const GateReport &report, TimePoint now);
-    void takeOpinion(const SecondOpinion &opinion, TimePoint now);
-    void takeProbe(const BackendServerId &server, bool good, TimePoint now);
+    void onReport(const GateReport &report, TimePoint now);
+    void onOpinion(const SecondOpinion &opinion, TimePoint now);
+    void onProbeResult(const BackendServerId &server, bool good, TimePoint now);
 
     /// The row as read; no row if it is absent.
-    void takeRow(const std::optional<TableRow> &row, TimePoint now);
+    void onRowRead(const std::optional<TableRow> &row, TimePoint now);
 
     /// The read failed.
-    void takeReadFailure(TimePoint now);
+    void onReadFailed(TimePoint now);
 
     /// The write ended, in whatever way: only the row tells what became of it.
-    void takeWriteEnd();
+    void onWriteDone();
 
     /// What to do now. @p token names the write, if there is one.
     EjectionPlan plan(TimePoint now, const std::string &token);
@@ -78,7 +78,7 @@
     struct SeenPhase
     {
         EjectionPhase phase_ = EjectionPhase::InService;
-        unsigned strikes_ = 0;
+        unsigned recentEjections_ = 0;
         RowVersion version_ = 0;
         TimePoint since_;
     };
@@ -91,7 +91,7 @@
     void readmitReady(EjectionRow &row) const;
     void readmitForFloor(EjectionRow &row, TimePoint now, EjectionPlan &plan) const;
     void eject(EjectionRow &row, const std::vector<EjectionCandidate> &candidates) const;
-    void decayStrikes(EjectionRow &row, TimePoint now) const;
+    void decayRecentEjections(EjectionRow &row, TimePoint now) const;
     std::optional<BackendServerId> leastSickEjected(const EjectionRow &row, TimePoint now) const;
     void trackPhases(TimePoint now);
     const ServiceMember *findMember(const BackendServerId &server) const;
@@ -100,7 +100,7 @@
     double floor_;
     std::vector<ServiceMember> members_;
     std::map<BackendServerId, TimePoint> withdrawnAt_; ///< When last seen so.
-    SicknessReview review_;
+    EjectionReview review_;
     ReadmissionProbes probes_;
     std::map<BackendServerId, RowVersion> confirmed_; ///< Row in force at a gate that serves.
 
--- a/packages/qz_health/ejection/ejectiondriver.cpp
+++ b/packages/qz_health/ejection/ejectiondriver.cpp
@@ -50,25 +50,25 @@
 {
 }
 
-void EjectionDriver::takeReport(const GateReport &report)
+void EjectionDriver::onReport(const GateReport &report)
 {
-    decider_->takeReport(report, clock_.now());
+    decider_->onReport(report, clock_.now());
     if (report.rowVersion_ < decider_->version()) {
-        callbacks_.tellRow_(decider_->row(), decider_->version());
+        callbacks_.pushRow_(decider_->row(), decider_->version());
     }
 }
 
 void EjectionDriver::step()
 {
     EjectionPlan plan = decider_->plan(clock_.now(), callbacks_.makeToken_());
-    for (const BackendServerId &server : plan.suspensions_) {
-        callbacks_.suspend_(server, decider_->version());
+    for (const BackendServerId &server : plan.suspendedEjections_) {
+        callbacks_.suspendEjection_(server, decider_->version());
     }
     for (const BackendServerId &server : plan.probes_) {
         callbacks_.probe_(server);
     }
     for (const OpinionRequest &request : plan.opinionRequests_) {
-        callbacks_.askOpinion_(request);
+        callbacks_.requestOpinion_(request);
     }
     for (const GateMove &move : plan.gateMoves_) {
         callbacks_.moveGate_(move);
@@ -89,13 +89,13 @@
             return;
         }
         if (!row) {
-            decider_->takeReadFailure(clock_.now());
+            decider_->onReadFailed(clock_.now());
             return;
         }
-        decider_->takeRow(row.value(), clock_.now());
-        if (decider_->version() > toldVersion_) {
-            toldVersion_ = decider_->version();
-            callbacks_.tellRow_(decider_->row(), toldVersion_);
+        decider_->onRowRead(row.value(), clock_.now());
+        if (decider_->version() > pushedVersion_) {
+            pushedVersion_ = decider_->version();
+            callbacks_.pushRow_(decider_->row(), pushedVersion_);
         }
     });
 }
@@ -107,7 +107,7 @@
         if (alive.expired()) {
             return;
         }
-        decider_->takeWriteEnd();
+        decider_->onWriteDone();
         step();
     });
 }
--- a/packages/qz_health/ejection/ejectiondriver.h
+++ b/packages/qz_health/ejection/ejectiondriver.h
@@ -14,14 +14,14 @@
 /// What an EjectionDriver asks of its instance. All are called on the loop.
 struct EjectionCallbacks
 {
-    /// Tells the service's gates of the row, for GateEjections::takeTold.
-    std::function<void(const EjectionRow &, RowVersion)> tellRow_;
+    /// Tells the service's gates of the row, for GateEjections::onRowPushed.
+    std::function<void(const EjectionRow &, RowVersion)> pushRow_;
     /// Tells the server's gate, for GateEjections::suspend.
-    std::function<void(const BackendServerId &, RowVersion)> suspend_;
-    /// Has the server's gate probe it; the end goes to EjectionDecider::takeProbe.
+    std::function<void(const BackendServerId &, RowVersion)> suspendEjection_;
+    /// Has the server's gate probe it; the end goes to EjectionDecider::onProbeResult.
     std::function<void(const BackendServerId &)> probe_;
-    /// Has another instance look; its finding goes to EjectionDecider::takeOpinion.
-    std::function<void(const OpinionRequest &)> askOpinion_;
+    /// Has another instance look; its finding goes to EjectionDecider::onOpinion.
+    std::function<void(const OpinionRequest &)> requestOpinion_;
     std::function<void(const GateMove &)> moveGate_;
     /// A fresh random name for a write.
     std::function<std::string()> makeToken_;
@@ -61,7 +61,7 @@
     const EjectionDecider &decider() const { return *decider_; }
 
     /// Passes a report on and tells the row again if the gate has an older one.
-    void takeReport(const GateReport &report);
+    void onReport(const GateReport &report);
 
     /// Plans and carries out one step; runs by itself every stepPeriod.
     void step();
@@ -77,7 +77,7 @@
     Table &table_;
     const Clock &clock_;
     EjectionCallbacks callbacks_;
-    RowVersion toldVersion_ = 0;
+    RowVersion pushedVersion_ = 0;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true); ///< Ends table calls' effect.
     Timers::HandlePtr timer_;
 };
--- a/packages/qz_health/ejection/sicknessreview.cpp
+++ b/packages/qz_health/ejection/ejectionreview.cpp
@@ -1,4 +1,4 @@
-#include "qz_health/ejection/sicknessreview.h"
+#include "qz_health/ejection/ejectionreview.h"
 
 #include <algorithm>
 
@@ -14,8 +14,8 @@
 /// Most of the gate's servers are in trouble at once.
 bool isGateSuspect(const GateReport &report)
 {
-    return report.gateTroubled_ >= minTroubledServers
-            && report.gateTroubled_ * 2 > report.gateServers_;
+    return report.gateUnhealthyCount_ >= minTroubledServers
+            && report.gateUnhealthyCount_ * 2 > report.gateServerCount_;
 }
 
 bool contradicts(const SecondOpinion &opinion, const GateReport &report)
@@ -23,12 +23,12 @@
     if (std::holds_alternative<Unreachable>(report.verdict_.state_)) {
         return opinion.reachable_;
     }
-    return report.probesBad_ && opinion.probeGood_;
+    return report.probesFailing_ && opinion.probeSucceeded_;
 }
 
 } // namespace
 
-void SicknessReview::takeReport(const GateReport &report, TimePoint now)
+void EjectionReview::onReport(const GateReport &report, TimePoint now)
 {
     Case &entry = cases_[report.server_];
     if (entry.report_.gate_ != report.gate_) {
@@ -38,7 +38,7 @@
     entry.reportedAt_ = now;
 }
 
-void SicknessReview::takeOpinion(const SecondOpinion &opinion, TimePoint now)
+void EjectionReview::onOpinion(const SecondOpinion &opinion, TimePoint now)
 {
     const auto entry = cases_.find(opinion.server_);
     if (entry == cases_.end() || opinion.domain_ == entry->second.report_.gateDomain_) {
@@ -48,11 +48,11 @@
     entry->second.opinionAt_ = now;
 }
 
-ReviewResult SicknessReview::review(TimePoint now)
+ReviewResult EjectionReview::review(TimePoint now)
 {
     ReviewResult result;
     for (auto &[server, entry] : cases_) {
-        switch (judge(entry, now)) {
+        switch (evaluate(entry, now)) {
         case Finding::Nothing:
             break;
         case Finding::NeedsOpinion:
@@ -74,17 +74,17 @@
     return result;
 }
 
-double SicknessReview::severityOf(const BackendServerId &server, TimePoint now) const
+double EjectionReview::severityOf(const BackendServerId &server, TimePoint now) const
 {
     const auto entry = cases_.find(server);
     if (entry == cases_.end() || now - entry->second.reportedAt_ > reportLifetime) {
         return 0;
     }
     const Verdict &verdict = entry->second.report_.verdict_;
-    return verdict.isSick() ? verdict.confidence_ : 0;
+    return verdict.isUnhealthy() ? verdict.confidence_ : 0;
 }
 
-SicknessReview::Finding SicknessReview::judge(const Case &entry, TimePoint now)
+EjectionReview::Finding EjectionReview::evaluate(const Case &entry, TimePoint now)
 {
     const GateReport &report = entry.report_;
     if (now - entry.reportedAt_ > reportLifetime || !report.verdict_.allowsEjection()) {
--- a/packages/qz_health/ejection/sicknessreview.h
+++ b/packages/qz_health/ejection/ejectionreview.h
@@ -19,11 +19,11 @@
     InstanceId gate_;
     FailureDomainId gateDomain_;
     Verdict verdict_;
-    bool probesBad_ = false;    ///< The gate's own probes of the server speak against it.
-    RowVersion rowVersion_ = 0; ///< The ejection row that the gate has in force; 0: none.
-    bool actsOnEjection_ = false;
-    unsigned gateServers_ = 1;  ///< Backend servers of any service behind this gate,
-    unsigned gateTroubled_ = 0; ///< and those of them that it finds in trouble.
+    bool probesFailing_ = false; ///< The gate's own probes of the server speak against it.
+    RowVersion rowVersion_ = 0;  ///< The ejection row that the gate has in force; 0: none.
+    bool enforcesEjection_ = false;
+    unsigned gateServerCount_ = 1;    ///< Backend servers of any service behind this gate,
+    unsigned gateUnhealthyCount_ = 0; ///< and those of them that it finds in trouble.
 };
 
 /// What another instance found when it connected to a server and probed it.
@@ -32,14 +32,14 @@
     BackendServerId server_;
     FailureDomainId domain_; ///< Where the other instance stands.
     bool reachable_ = false;
-    bool probeGood_ = false; ///< Answered well within the usual time.
+    bool probeSucceeded_ = false; ///< Answered well within the usual time.
 };
 
-/// Asks an instance outside @p avoidDomain_ for a second opinion.
+/// Asks an instance outside @p excludedDomain_ for a second opinion.
 struct OpinionRequest
 {
     BackendServerId server_;
-    FailureDomainId avoidDomain_;
+    FailureDomainId excludedDomain_;
 };
 
 /// The gate rather than the server is in trouble: another instance should be the gate.
@@ -67,11 +67,11 @@
 /// only if its gate's verdict allows ejection, an instance of another failure domain does not
 /// contradict it, and the gate is not in trouble with most of its servers at once.
 /// @see EjectionDecider
-class SicknessReview
+class EjectionReview
 {
 public:
-    void takeReport(const GateReport &report, TimePoint now);
-    void takeOpinion(const SecondOpinion &opinion, TimePoint now);
+    void onReport(const GateReport &report, TimePoint now);
+    void onOpinion(const SecondOpinion &opinion, TimePoint now);
 
     /// Forgets all about @p server, after it was ejected or has gone.
     void forget(const BackendServerId &server) { cases_.erase(server); }
@@ -93,7 +93,7 @@
     };
     enum class Finding { Nothing, NeedsOpinion, GateInTrouble, Candidate };
 
-    static Finding judge(const Case &entry, TimePoint now);
+    static Finding evaluate(const Case &entry, TimePoint now);
 
     std::map<BackendServerId, Case> cases_; ///< One for each server of the service.
 };
--- a/packages/qz_health/ejection/ejectionrow.cpp
+++ b/packages/qz_health/ejection/ejectionrow.cpp
@@ -22,7 +22,7 @@
 {
     return Json{ { "phase", entry.phase_ },
                  { "withdrawal", entry.withdrawal_ },
-                 { "strikes", entry.strikes_ },
+                 { "strikes", entry.recentEjections_ },
                  { "hold_down_ms", entry.holdDown_.count() } };
 }
 
@@ -31,7 +31,7 @@
     ServerEntry entry;
     entry.phase_ = json.at("phase").get<EjectionPhase>();
     entry.withdrawal_ = json.at("withdrawal").get<Withdrawal>();
-    entry.strikes_ = json.at("strikes").get<unsigned>();
+    entry.recentEjections_ = json.at("strikes").get<unsigned>();
     entry.holdDown_ = std::chrono::milliseconds(json.at("hold_down_ms").get<std::int64_t>());
     return entry;
 }
@@ -44,10 +44,10 @@
     return found == servers_.end() ? ServerEntry() : found->second;
 }
 
-void EjectionRow::dropPlainEntries()
+void EjectionRow::removeDefaultEntries()
 {
     for (auto entry = servers_.begin(); entry != servers_.end();) {
-        entry = entry->second.isPlain() ? servers_.erase(entry) : std::next(entry);
+        entry = entry->second.isDefault() ? servers_.erase(entry) : std::next(entry);
     }
 }
 
--- a/packages/qz_health/ejection/ejectionrow.h
+++ b/packages/qz_health/ejection/ejectionrow.h
@@ -30,7 +30,7 @@
 {
     EjectionPhase phase_ = EjectionPhase::InService;
     Withdrawal withdrawal_ = Withdrawal::None;
-    unsigned strikes_ = 0; ///< Recent ejections; decays.
+    unsigned recentEjections_ = 0; ///< Recent ejections; decays.
     std::chrono::milliseconds holdDown_{};
 
     /// Neither ejected, being re-admitted nor withdrawn.
@@ -38,12 +38,12 @@
     {
         return phase_ == EjectionPhase::InService && withdrawal_ == Withdrawal::None;
     }
-    bool isPlain() const { return countsAsHealthy() && strikes_ == 0; }
+    bool isDefault() const { return countsAsHealthy() && recentEjections_ == 0; }
 
     friend bool operator==(const ServerEntry &a, const ServerEntry &b)
     {
-        return a.phase_ == b.phase_ && a.withdrawal_ == b.withdrawal_ && a.strikes_ == b.strikes_
-                && a.holdDown_ == b.holdDown_;
+        return a.phase_ == b.phase_ && a.withdrawal_ == b.withdrawal_
+                && a.recentEjections_ == b.recentEjections_ && a.holdDown_ == b.holdDown_;
     }
 };
 
@@ -69,7 +69,7 @@
     }
 
     /// Drops entries that say nothing.
-    void dropPlainEntries();
+    void removeDefaultEntries();
 };
 
 std::string ejectionRowKey(const ServiceId &service);
--- a/packages/qz_health/ejection/gateejections.cpp
+++ b/packages/qz_health/ejection/gateejections.cpp
@@ -4,20 +4,20 @@
 
 namespace qz {
 
-void GateEjections::takeRead(const EjectionRow &row, RowVersion version)
+void GateEjections::onRowRead(const EjectionRow &row, RowVersion version)
 {
     hasRead_ = true;
     adopt(row, version);
 }
 
-void GateEjections::takeTold(const EjectionRow &row, RowVersion version)
+void GateEjections::onRowPushed(const EjectionRow &row, RowVersion version)
 {
     if (hasRead_) {
         adopt(row, version);
     }
 }
 
-void GateEjections::suspend(const BackendServerId &server, RowVersion version)
+void GateEjections::suspendEjection(const BackendServerId &server, RowVersion version)
 {
     RowVersion &suspended = suspended_[server];
     suspended = std::max(suspended, version);
--- a/packages/qz_health/ejection/gateejections.h
+++ b/packages/qz_health/ejection/gateejections.h
@@ -19,13 +19,13 @@
     bool needsRead() const { return !hasRead_; }
 
     /// The gate has read the row; @p version is 0 while there is none.
-    void takeRead(const EjectionRow &row, RowVersion version);
+    void onRowRead(const EjectionRow &row, RowVersion version);
 
     /// The decider told the gate of the row.
-    void takeTold(const EjectionRow &row, RowVersion version);
+    void onRowPushed(const EjectionRow &row, RowVersion version);
 
     /// The decider needs @p server back at once; holds for the version in force and all lower.
-    void suspend(const BackendServerId &server, RowVersion version);
+    void suspendEjection(const BackendServerId &server, RowVersion version);
 
     /// No new work for the server.
     bool isEjected(const BackendServerId &server) const;
--- a/packages/qz_health/ejection/holddown.h
+++ b/packages/qz_health/ejection/holddown.h
@@ -9,7 +9,7 @@
 struct HoldDown
 {
     static constexpr std::chrono::milliseconds base = std::chrono::seconds(10);
-    static constexpr std::chrono::milliseconds longest = std::chrono::minutes(10);
+    static constexpr std::chrono::milliseconds maximum = std::chrono::minutes(10);
     /// A strike is taken off after this long in service.
     static constexpr std::chrono::milliseconds decayPeriod = std::chrono::minutes(5);
 
@@ -17,10 +17,10 @@
     static std::chrono::milliseconds after(unsigned strikes)
     {
         std::chrono::milliseconds holdDown = base;
-        for (unsigned i = 1; i < strikes && holdDown < longest; ++i) {
+        for (unsigned i = 1; i < strikes && holdDown < maximum; ++i) {
             holdDown *= 2;
         }
-        return holdDown < longest ? holdDown : longest;
+        return holdDown < maximum ? holdDown : maximum;
     }
 };
 
--- a/packages/qz_health/ejection/readmissionprobes.cpp
+++ b/packages/qz_health/ejection/readmissionprobes.cpp
@@ -16,7 +16,7 @@
     tracked_.try_emplace(server, Tracked{ now, now + holdDown, 0 });
 }
 
-void ReadmissionProbes::takeProbe(const BackendServerId &server, bool good, TimePoint now)
+void ReadmissionProbes::onProbeResult(const BackendServerId &server, bool good, TimePoint now)
 {
     const auto entry = tracked_.find(server);
     if (entry == tracked_.end()) {
--- a/packages/qz_health/ejection/readmissionprobes.h
+++ b/packages/qz_health/ejection/readmissionprobes.h
@@ -21,7 +21,7 @@
     /// The server is not ejected any more.
     void forget(const BackendServerId &server) { tracked_.erase(server); }
 
-    void takeProbe(const BackendServerId &server, bool good, TimePoint now);
+    void onProbeResult(const BackendServerId &server, bool good, TimePoint now);
 
     /// The servers to probe now.
     std::vector<BackendServerId> due(TimePoint now);
--- a/packages/qz_health/ejection/servicecapacity.h
+++ b/packages/qz_health/ejection/servicecapacity.h
@@ -23,7 +23,7 @@
     int healthy_ = 0;  ///< Slots of the servers that count as healthy in the row.
 
     /// Taking @p slots more out keeps the floor.
-    bool canSpare(int slots) const { return healthy_ - slots >= required_; }
+    bool canEject(int slots) const { return healthy_ - slots >= required_; }
 };
 
 /// Counts @p members under @p row; @p floor is the share of slots, 0..1, to stay healthy.
--- a/packages/qz_health/evidence/evidencedigest.cpp
+++ b/packages/qz_health/evidence/evidencedigest.cpp
@@ -24,7 +24,7 @@
         { "connect_score", digest.connectScore_ },
         { "probe_score", digest.probeScore_ },
         { "slow_factor", digest.slowFactor_ },
-        { "trouble_span_ms", digest.troubleSpanMs_ },
+        { "trouble_span_ms", digest.unhealthyTimeMs_ },
         { "kinds", nlohmann::json::array() },
     };
     for (const KindSummary &kind : digest.kinds_) {
--- a/packages/qz_health/evidence/evidencedigest.h
+++ b/packages/qz_health/evidence/evidencedigest.h
@@ -42,14 +42,14 @@
     std::uint16_t connectFailed_ = 0;
     std::uint16_t cut_ = 0;
     std::uint16_t consecutiveErrors_ = 0;
-    float slowScore_ = 0;             ///< From latencies of work, requests in flight included.
-    float failScore_ = 0;             ///< From failed and cut work.
-    float connectScore_ = 0;          ///< From connects, those of probes included.
-    float probeScore_ = 0;            ///< From probes; may be negative.
-    float slowFactor_ = 1;            ///< Latency relative to the service's other servers.
-    std::uint32_t troubleSpanMs_ = 0; ///< Time since the evidence of trouble began; 0: none.
+    float slowScore_ = 0;               ///< From latencies of work, requests in flight included.
+    float failScore_ = 0;               ///< From failed and cut work.
+    float connectScore_ = 0;            ///< From connects, those of probes included.
+    float probeScore_ = 0;              ///< From probes; may be negative.
+    float slowFactor_ = 1;              ///< Latency relative to the service's other servers.
+    std::uint32_t unhealthyTimeMs_ = 0; ///< Time since the evidence of trouble began; 0: none.
 
-    Duration troubleSpan() const { return std::chrono::milliseconds(troubleSpanMs_); }
+    Duration unhealthyTime() const { return std::chrono::milliseconds(unhealthyTimeMs_); }
 
     /// Ended requests in the sliding window.
     unsigned total() const
@@ -62,7 +62,7 @@
 
     MSGPACK_DEFINE_ARRAY(kinds_, probe_, succeeded_, shed_, failed_, timedOut_, connectFailed_,
                          cut_, consecutiveErrors_, slowScore_, failScore_, connectScore_,
-                         probeScore_, slowFactor_, troubleSpanMs_)
+                         probeScore_, slowFactor_, unhealthyTimeMs_)
 };
 
 /// A short name for a kind, equal on all instances.
--- a/packages/qz_health/evidence/latencymodel.cpp
+++ b/packages/qz_health/evidence/latencymodel.cpp
@@ -27,14 +27,14 @@
     return std::log(std::max(seconds, minSeconds));
 }
 
-double LatencyModel::endedRatio(Duration latency) const
+double LatencyModel::completedLogRatio(Duration latency) const
 {
     const double residual = logSeconds(latency) - meanLog_;
     const double ratio = slowShift / (spreadLog_ * spreadLog_) * (residual - slowShift / 2);
     return std::clamp(ratio, minEndedRatio, maxEndedRatio);
 }
 
-double LatencyModel::runningRatio(Duration age) const
+double LatencyModel::pendingLogRatio(Duration age) const
 {
     const double z = (logSeconds(age) - meanLog_) / spreadLog_;
     const double slowZ = z - slowShift / spreadLog_;
--- a/packages/qz_health/evidence/latencymodel.h
+++ b/packages/qz_health/evidence/latencymodel.h
@@ -19,10 +19,10 @@
     double spreadLog_ = 1; ///< Above 0.
 
     /// The log-likelihood ratio of an ended request, in nats, bounded on both sides.
-    double endedRatio(Duration latency) const;
+    double completedLogRatio(Duration latency) const;
 
     /// The same for a request that has run for @p age and has not ended; never negative.
-    double runningRatio(Duration age) const;
+    double pendingLogRatio(Duration age) const;
 };
 
 } // namespace qz
--- a/packages/qz_health/evidence/doubtprober.cpp
+++ b/packages/qz_health/evidence/probescheduler.cpp
@@ -1,16 +1,16 @@
-#include "qz_health/evidence/doubtprober.h"
+#include "qz_health/evidence/probescheduler.h"
 
 #include <algorithm>
 
 namespace qz {
 
-bool DoubtProber::shouldProbe(const Verdict &verdict, TimePoint now)
+bool ProbeScheduler::shouldProbe(const Verdict &verdict, TimePoint now)
 {
     const std::chrono::duration<double> elapsed = now - refilledAt_;
     const std::chrono::duration<double> period = refillPeriod;
     tokens_ = std::min(burst, tokens_ + elapsed / period);
     refilledAt_ = now;
-    if (!verdict.isDoubt() || isProbing_ || now < nextProbe_ || tokens_ < 1) {
+    if (!verdict.isSuspect() || isProbing_ || now < nextProbe_ || tokens_ < 1) {
         return false;
     }
     tokens_ -= 1;
--- a/packages/qz_health/evidence/doubtprober.h
+++ b/packages/qz_health/evidence/probescheduler.h
@@ -9,7 +9,7 @@
 /// Spends probes only while a verdict is in doubt, spaced apart, from a budget that refills
 /// slowly, so that a server is never loaded much by them.
 /// @see ServerEvidence::recordProbe
-class DoubtProber
+class ProbeScheduler
 {
 public:
     /// Whether to send a probe now; if so, it counts as sent. One probe at a time.
--- a/packages/qz_health/evidence/serverevidence.cpp
+++ b/packages/qz_health/evidence/serverevidence.cpp
@@ -59,22 +59,22 @@
     return summary;
 }
 
-ServerEvidence::FlightId ServerEvidence::begin(const std::string &kind, TimePoint at)
+ServerEvidence::InFlightId ServerEvidence::begin(const std::string &kind, TimePoint at)
 {
-    const FlightId flight = ++lastFlight_;
+    const InFlightId flight = ++lastFlight_;
     if (flights_.size() < maxFlights) {
         flights_[flight] = Flight{ kindHash(kind), at };
     }
     return flight;
 }
 
-void ServerEvidence::end(FlightId flight, const Observation &observation)
+void ServerEvidence::end(InFlightId flight, const Observation &observation)
 {
     flights_.erase(flight);
     record(observation);
 }
 
-void ServerEvidence::forget(FlightId flight)
+void ServerEvidence::discard(InFlightId flight)
 {
     flights_.erase(flight);
 }
@@ -97,7 +97,7 @@
     const LatencyModel usual = baseline_.probeLatency();
     double ratio = 0;
     if (observation.result_ == ObservedResult::Succeeded) {
-        ratio = usual.endedRatio(observation.latency_);
+        ratio = usual.completedLogRatio(observation.latency_);
         probe_.add(logSeconds(observation.latency_));
     } else if (connected) {
         ratio = probeFailedRatio;
@@ -131,14 +131,14 @@
     digest.probeScore_ = static_cast<float>(probeScore_);
     digest.slowFactor_ = static_cast<float>(std::exp(slowResidual_));
     const auto span = std::chrono::duration_cast<std::chrono::milliseconds>(now - since);
-    digest.troubleSpanMs_ = static_cast<std::uint32_t>(span.count());
+    digest.unhealthyTimeMs_ = static_cast<std::uint32_t>(span.count());
     return digest;
 }
 
 void ServerEvidence::reset(TimePoint now)
 {
     ServiceBaseline baseline = std::move(baseline_);
-    const FlightId lastFlight = lastFlight_;
+    const InFlightId lastFlight = lastFlight_;
     *this = ServerEvidence();
     baseline_ = std::move(baseline);
     lastFlight_ = lastFlight;
@@ -190,13 +190,14 @@
     }
     const auto usual = baseline_.latencyOf(kind);
     if (observation.result_ == ObservedResult::TimedOut) {
-        slowScore_ = bounded(slowScore_ + (usual ? usual->runningRatio(observation.latency_) : 0));
+        slowScore_ =
+                bounded(slowScore_ + (usual ? usual->pendingLogRatio(observation.latency_) : 0));
         return;
     }
     const bool failed = isError(observation.result_);
     failScore_ = bounded(failScore_ + failureRatio(failed, baseline_.failureRate()));
     if (!failed && usual) {
-        slowScore_ = bounded(slowScore_ + usual->endedRatio(observation.latency_));
+        slowScore_ = bounded(slowScore_ + usual->completedLogRatio(observation.latency_));
         const double residual = logSeconds(observation.latency_) - usual->meanLog_;
         slowResidual_ += residualGain * (residual - slowResidual_);
     }
@@ -223,7 +224,7 @@
     double score = 0;
     for (const auto &[id, flight] : flights_) {
         const auto usual = baseline_.latencyOf(flight.kind_);
-        const double ratio = usual ? usual->runningRatio(now - flight.since_) : 0;
+        const double ratio = usual ? usual->pendingLogRatio(now - flight.since_) : 0;
         score += ratio;
         if (ratio >= troubleScore) {
             earliest = std::min(earliest, flight.since_);
--- a/packages/qz_health/evidence/serverevidence.h
+++ b/packages/qz_health/evidence/serverevidence.h
@@ -23,20 +23,20 @@
 class ServerEvidence
 {
 public:
-    using FlightId = std::uint64_t;
+    using InFlightId = std::uint64_t;
 
     /// What is usual in the service; sent by its health decider from time to time.
     void setBaseline(ServiceBaseline baseline) { baseline_ = std::move(baseline); }
 
     /// A request was dispatched to the server at @p at.
-    FlightId begin(const std::string &kind, TimePoint at);
+    InFlightId begin(const std::string &kind, TimePoint at);
 
     /// The request ended. A result that says nothing of the server (a caller that left) is
-    /// passed to forget() instead.
-    void end(FlightId flight, const Observation &observation);
+    /// passed to discard() instead.
+    void end(InFlightId flight, const Observation &observation);
 
     /// The request ended in a way that says nothing of the server.
-    void forget(FlightId flight);
+    void discard(InFlightId flight);
 
     void record(const Observation &observation);
 
@@ -93,8 +93,8 @@
     std::array<Bucket, bucketCount> buckets_{};
     std::array<LatencyStat, EvidenceDigest::maxKinds> kinds_{};
     LatencyStat probe_;
-    std::map<FlightId, Flight> flights_; ///< Never more than maxFlights.
-    FlightId lastFlight_ = 0;
+    std::map<InFlightId, Flight> flights_; ///< Never more than maxFlights.
+    InFlightId lastFlight_ = 0;
     std::uint16_t consecutiveErrors_ = 0;
     double slowScore_ = 0;                  ///< 0 .. maxScore.
     double failScore_ = 0;                  ///< 0 .. maxScore.
--- a/packages/qz_health/tests/detectionmeasurement.cpp
+++ b/packages/qz_health/tests/detectionmeasurement.cpp
@@ -51,7 +51,7 @@
 
 struct Flight
 {
-    ServerEvidence::FlightId id_ = 0;
+    ServerEvidence::InFlightId id_ = 0;
     std::string kind_;
     TimePoint since_;
     TimePoint endsAt_;
@@ -62,7 +62,7 @@
 {
     ServerEvidence evidence_;
     WeightController weights_;
-    DoubtProber prober_;
+    ProbeScheduler prober_;
     std::vector<Flight> flights_;
     std::optional<Flight> probe_;
     Verdict verdict_;
@@ -124,7 +124,7 @@
             exchangeDigests();
         }
         for (std::size_t i = 0; i < servers_.size(); ++i) {
-            judge(i);
+            evaluate(i);
         }
     }
 
@@ -172,8 +172,8 @@
 
     Flight makeFlight(std::size_t index, double seconds, Duration timeout)
     {
-        const bool isSick = isFaulty(index);
-        const Fault fault = isSick ? scenario_.fault_ : Fault::None;
+        const bool isUnhealthy = isFaulty(index);
+        const Fault fault = isUnhealthy ? scenario_.fault_ : Fault::None;
         double factor = fault == Fault::Slow3 ? 3 : 1;
         factor = fault == Fault::Slow10 || fault == Fault::Flapping ? 10 : factor;
         if (scenario_.load_ == Load::ColdStart && index == faultyServer) {
@@ -277,13 +277,14 @@
         }
     }
 
-    void judge(std::size_t index)
+    void evaluate(std::size_t index)
     {
         Server &server = servers_[index];
         if (clock_.now() < faultAt_ - 1s || server.ejectedAt_) {
             return;
         }
-        server.verdict_ = detector_.judge(server.evidence_.digest(clock_.now()), othersOf(index));
+        server.verdict_ =
+                detector_.evaluate(server.evidence_.digest(clock_.now()), othersOf(index));
         server.weights_.update(server.verdict_, clock_.now());
         if (server.prober_.shouldProbe(server.verdict_, clock_.now())) {
             server.probe_ =
@@ -306,10 +307,10 @@
         report.server_ = BackendServerId(std::to_string(index));
         report.gateDomain_ = FailureDomainId("gate");
         report.verdict_ = server.verdict_;
-        report.probesBad_ = server.digest_.probeScore_ > 0;
-        review_.takeReport(report, clock_.now());
+        report.probesFailing_ = server.digest_.probeScore_ > 0;
+        review_.onReport(report, clock_.now());
         if (server.opinionAt_ && *server.opinionAt_ <= clock_.now()) {
-            review_.takeOpinion(opinionOf(index), clock_.now());
+            review_.onOpinion(opinionOf(index), clock_.now());
             server.opinionAt_.reset();
         }
         const ReviewResult result = review_.review(clock_.now());
@@ -357,7 +358,7 @@
     ManualClock clock_;
     std::array<Server, serverCount> servers_;
     TimePoint faultAt_;
-    SicknessReview review_;
+    EjectionReview review_;
     int falseEjections_ = 0;
     int gateMoves_ = 0;
 };
--- a/packages/qz_health/tests/ejectiondecidertest.cpp
+++ b/packages/qz_health/tests/ejectiondecidertest.cpp
@@ -174,7 +174,7 @@
     const GateEjections stale = cutOff;
     clock_.advance(HoldDown::base);
     for (int i = 0; i < 3; ++i) {
-        driver->decider().takeProbe(server(0), true, clock_.now());
+        driver->decider().onProbeResult(server(0), true, clock_.now());
     }
     settle(*driver);
     cutOff = stale; // the news of its re-admission never arrived
@@ -200,14 +200,14 @@
     clock_.advance(HoldDown::base);
     driver->step();
     BOOST_TEST(probed_.size() == 1U);
-    driver->decider().takeProbe(server(0), true, clock_.now());
-    driver->decider().takeProbe(server(0), true, clock_.now());
-    driver->decider().takeProbe(server(0), false, clock_.now());
-    driver->decider().takeProbe(server(0), true, clock_.now());
+    driver->decider().onProbeResult(server(0), true, clock_.now());
+    driver->decider().onProbeResult(server(0), true, clock_.now());
+    driver->decider().onProbeResult(server(0), false, clock_.now());
+    driver->decider().onProbeResult(server(0), true, clock_.now());
     settle(*driver);
     BOOST_TEST(gates_[server(0)].isEjected(server(0)));
-    driver->decider().takeProbe(server(0), true, clock_.now());
-    driver->decider().takeProbe(server(0), true, clock_.now());
+    driver->decider().onProbeResult(server(0), true, clock_.now());
+    driver->decider().onProbeResult(server(0), true, clock_.now());
     settle(*driver);
     BOOST_TEST(slotsInService() == 16);
 }
@@ -225,17 +225,17 @@
         BOOST_TEST(holdDown.count() > 0);
         last = holdDown;
         for (int i = 0; i < 3; ++i) {
-            driver->decider().takeProbe(server(0), true, clock_.now());
+            driver->decider().onProbeResult(server(0), true, clock_.now());
         }
         settle(*driver);
         reportHealthy(*driver);
         settle(*driver);
         BOOST_TEST(committedRow().entryOf(server(0)).countsAsHealthy());
     }
-    BOOST_TEST(committedRow().entryOf(server(0)).strikes_ == 3U);
+    BOOST_TEST(committedRow().entryOf(server(0)).recentEjections_ == 3U);
     clock_.advance(HoldDown::decayPeriod);
     settle(*driver);
-    BOOST_TEST(committedRow().entryOf(server(0)).strikes_ == 2U);
+    BOOST_TEST(committedRow().entryOf(server(0)).recentEjections_ == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(gateActsOnlyOnRowsItCanTrust)
@@ -243,18 +243,18 @@
     EjectionRow row;
     row.servers_[server(1)].phase_ = EjectionPhase::Ejected;
     GateEjections gate;
-    gate.takeTold(row, 7);
+    gate.onRowPushed(row, 7);
     BOOST_TEST(!gate.isEjected(server(1)));
-    gate.takeRead(row, 7);
+    gate.onRowRead(row, 7);
     BOOST_TEST(gate.isEjected(server(1)));
-    gate.takeTold(EjectionRow(), 8);
-    gate.takeTold(row, 7);
+    gate.onRowPushed(EjectionRow(), 8);
+    gate.onRowPushed(row, 7);
     BOOST_TEST(!gate.isEjected(server(1)));
     BOOST_TEST(gate.version() == 8U);
-    gate.suspend(server(1), 9);
-    gate.takeTold(row, 9);
+    gate.suspendEjection(server(1), 9);
+    gate.onRowPushed(row, 9);
     BOOST_TEST(!gate.isEjected(server(1)));
-    gate.takeTold(row, 10);
+    gate.onRowPushed(row, 10);
     BOOST_TEST(gate.isEjected(server(1)));
 }
 
--- a/packages/qz_health/tests/ejectionfixture.h
+++ b/packages/qz_health/tests/ejectionfixture.h
@@ -47,23 +47,23 @@
     {
         for (int i = 0; i < serverCount; ++i) {
             members_.push_back({ server(i), slots, Withdrawal::None });
-            gates_[server(i)].takeRead({}, 0);
+            gates_[server(i)].onRowRead({}, 0);
         }
     }
 
     std::unique_ptr<EjectionDriver> makeDriver(Table &table)
     {
         EjectionCallbacks callbacks;
-        callbacks.tellRow_ = [this](const EjectionRow &row, RowVersion version) {
+        callbacks.pushRow_ = [this](const EjectionRow &row, RowVersion version) {
             for (auto &[id, gate] : gates_) {
-                gate.takeTold(row, version);
+                gate.onRowPushed(row, version);
             }
         };
-        callbacks.suspend_ = [this](const BackendServerId &id, RowVersion version) {
-            gates_[id].suspend(id, version);
+        callbacks.suspendEjection_ = [this](const BackendServerId &id, RowVersion version) {
+            gates_[id].suspendEjection(id, version);
         };
         callbacks.probe_ = [this](const BackendServerId &id) { probed_.push_back(id); };
-        callbacks.askOpinion_ = [this](const OpinionRequest &request) {
+        callbacks.requestOpinion_ = [this](const OpinionRequest &request) {
             asked_.push_back(request);
         };
         callbacks.moveGate_ = [this](const GateMove &move) { moves_.push_back(move); };
@@ -87,22 +87,22 @@
         report.gateDomain_ = FailureDomainId("alex-a");
         report.verdict_ = verdict;
         report.rowVersion_ = gates_.at(id).version();
-        report.actsOnEjection_ = gates_.at(id).isEjected(id);
+        report.enforcesEjection_ = gates_.at(id).isEjected(id);
         return report;
     }
 
     /// Reports @p id as failing, with a second opinion that agrees.
     void reportSick(EjectionDriver &driver, int number) const
     {
-        driver.takeReport(reportOf(server(number), Verdict{ Failing{ 0.9 }, 1 }));
+        driver.onReport(reportOf(server(number), Verdict{ Failing{ 0.9 }, 1 }));
         const SecondOpinion opinion{ server(number), FailureDomainId("alex-b"), true, false };
-        driver.decider().takeOpinion(opinion, clock_.now());
+        driver.decider().onOpinion(opinion, clock_.now());
     }
 
     void reportHealthy(EjectionDriver &driver) const
     {
         for (const ServiceMember &member : members_) {
-            driver.takeReport(reportOf(member.id_, Verdict{ Healthy{}, 1 }));
+            driver.onReport(reportOf(member.id_, Verdict{ Healthy{}, 1 }));
         }
     }
 
--- a/packages/qz_health/tests/sicknessreviewtest.cpp
+++ b/packages/qz_health/tests/ejectionreviewtest.cpp
@@ -28,13 +28,13 @@
 
     ReviewResult reviewWith(const GateReport &report, const SecondOpinion &opinion)
     {
-        review_.takeReport(report, clock_.now());
-        review_.takeOpinion(opinion, clock_.now());
+        review_.onReport(report, clock_.now());
+        review_.onOpinion(opinion, clock_.now());
         return review_.review(clock_.now());
     }
 
     ManualClock clock_;
-    SicknessReview review_;
+    EjectionReview review_;
 };
 
 } // namespace
@@ -47,7 +47,7 @@
     ReviewResult result = reviewWith(report, { sick, gateDomain, false, false });
     BOOST_TEST(result.candidates_.empty());
     BOOST_TEST_REQUIRE(result.opinionRequests_.size() == 1U);
-    BOOST_TEST((result.opinionRequests_[0].avoidDomain_ == gateDomain));
+    BOOST_TEST((result.opinionRequests_[0].excludedDomain_ == gateDomain));
     BOOST_TEST(review_.review(clock_.now()).opinionRequests_.empty());
     result = reviewWith(report, { sick, otherDomain, false, false });
     BOOST_TEST(result.candidates_.size() == 1U);
@@ -64,8 +64,8 @@
 BOOST_AUTO_TEST_CASE(cutOffGateEjectsNothing)
 {
     GateReport report = reportOf(Verdict{ Unreachable{}, 1 });
-    report.gateServers_ = 5;
-    report.gateTroubled_ = 4;
+    report.gateServerCount_ = 5;
+    report.gateUnhealthyCount_ = 4;
     const ReviewResult result = reviewWith(report, { sick, otherDomain, false, false });
     BOOST_TEST(result.candidates_.empty());
     BOOST_TEST(result.gateMoves_.size() == 1U);
@@ -74,7 +74,7 @@
 BOOST_AUTO_TEST_CASE(slowPathOfTheGateIsNotTheServers)
 {
     GateReport report = reportOf(Verdict{ Slow{ 5 }, 1 });
-    report.probesBad_ = true;
+    report.probesFailing_ = true;
     const ReviewResult result = reviewWith(report, { sick, otherDomain, true, true });
     BOOST_TEST(result.candidates_.empty());
     BOOST_TEST(result.gateMoves_.size() == 1U);
@@ -95,7 +95,7 @@
     BOOST_TEST(review_.review(clock_.now()).candidates_.empty());
     clock_.advance(1500ms);
     BOOST_TEST(review_.review(clock_.now()).candidates_.empty());
-    review_.takeReport(report, clock_.now());
+    review_.onReport(report, clock_.now());
     BOOST_TEST(review_.review(clock_.now()).candidates_.empty());
 }
 
--- a/packages/qz_health/tests/ejectionscheduletest.cpp
+++ b/packages/qz_health/tests/ejectionscheduletest.cpp
@@ -119,16 +119,18 @@
     std::unique_ptr<EjectionDriver> makeLossyDriver()
     {
         EjectionCallbacks callbacks;
-        callbacks.tellRow_ = [this](const EjectionRow &row, RowVersion version) {
+        callbacks.pushRow_ = [this](const EjectionRow &row, RowVersion version) {
             for (const ServiceMember &member : members_) {
-                send([this, id = member.id_, row, version] { gates_[id].takeTold(row, version); });
+                send([this, id = member.id_, row, version] {
+                    gates_[id].onRowPushed(row, version);
+                });
             }
         };
-        callbacks.suspend_ = [this](const BackendServerId &id, RowVersion version) {
-            send([this, id, version] { gates_[id].suspend(id, version); });
+        callbacks.suspendEjection_ = [this](const BackendServerId &id, RowVersion version) {
+            send([this, id, version] { gates_[id].suspendEjection(id, version); });
         };
         callbacks.probe_ = [this](const BackendServerId &id) { probed_.push_back(id); };
-        callbacks.askOpinion_ = [](const OpinionRequest & /*request*/) {};
+        callbacks.requestOpinion_ = [](const OpinionRequest & /*request*/) {};
         callbacks.moveGate_ = [](const GateMove & /*move*/) {};
         callbacks.makeToken_ = [this] { return "t" + std::to_string(++tokens_); };
         auto driver = EjectionDriver::Builder()
@@ -178,7 +180,7 @@
             break;
         case 8:
             for (const BackendServerId &id : std::exchange(probed_, {})) {
-                driver.decider().takeProbe(id, pick(4) != 0, clock_.now());
+                driver.decider().onProbeResult(id, pick(4) != 0, clock_.now());
             }
             break;
         case 9:
@@ -193,9 +195,7 @@
     void sendReport(EjectionDriver &driver, const BackendServerId &id, const Verdict &verdict)
     {
         std::size_t index = &driver == drivers_[0].get() ? 0 : 1;
-        send([this, index, report = reportOf(id, verdict)] {
-            drivers_[index]->takeReport(report);
-        });
+        send([this, index, report = reportOf(id, verdict)] { drivers_[index]->onReport(report); });
     }
 
     void restartGate(const BackendServerId &id)
@@ -204,7 +204,7 @@
         lossy_.read(ejectionRowKey(orders), [this, id](Result<std::optional<TableRow>> row) {
             if (row && row.value()) {
                 const EjectionRow decoded = decodeEjectionRow(row.value()->value_).value();
-                gates_[id].takeRead(decoded, row.value()->version_);
+                gates_[id].onRowRead(decoded, row.value()->version_);
             }
         });
     }
@@ -280,7 +280,7 @@
                 message();
             }
             for (const ServiceMember &member : members_) {
-                drivers_[0]->takeReport(reportOf(member.id_, Verdict{ Healthy{}, 1 }));
+                drivers_[0]->onReport(reportOf(member.id_, Verdict{ Healthy{}, 1 }));
             }
             advance();
             advance();
--- a/packages/qz_health/tests/evidencetest.cpp
+++ b/packages/qz_health/tests/evidencetest.cpp
@@ -36,9 +36,9 @@
 {
     Fixture() { evidence_.setBaseline(ServiceBaseline::fromDigests(others_)); }
 
-    Verdict judge() const
+    Verdict evaluate() const
     {
-        return OutlierDetector().judge(evidence_.digest(clock_.now()), others_);
+        return OutlierDetector().evaluate(evidence_.digest(clock_.now()), others_);
     }
 
     ManualClock clock_;
@@ -59,7 +59,7 @@
     sent.connectFailed_ = sent.cut_ = sent.consecutiveErrors_ = 0xffff;
     sent.slowScore_ = sent.failScore_ = sent.connectScore_ = 13.7F;
     sent.probeScore_ = sent.slowFactor_ = -5.3F;
-    sent.troubleSpanMs_ = 0xffffffff;
+    sent.unhealthyTimeMs_ = 0xffffffff;
     std::stringstream wire;
     msgpack::pack(wire, sent);
     BOOST_TEST(wire.str().size() < 200U);
@@ -78,8 +78,8 @@
         evidence_.record(answer("light", 400ms, clock_.now()));
         evidence_.recordProbe(answer("", 400ms, clock_.now()));
     }
-    BOOST_TEST(judge().isDoubt());
-    BOOST_TEST(!judge().allowsEjection());
+    BOOST_TEST(evaluate().isSuspect());
+    BOOST_TEST(!evaluate().allowsEjection());
 }
 
 BOOST_AUTO_TEST_CASE(heavyWorkIsNotTakenForSlowness)
@@ -88,7 +88,7 @@
         clock_.advance(100ms);
         evidence_.record(answer("heavy", 450ms, clock_.now()));
     }
-    BOOST_TEST(!judge().isSick());
+    BOOST_TEST(!evaluate().isUnhealthy());
 }
 
 BOOST_AUTO_TEST_CASE(slowServerLosesWeightThenMayBeEjected)
@@ -97,22 +97,22 @@
         clock_.advance(100ms);
         evidence_.record(answer("light", 300ms, clock_.now()));
     }
-    BOOST_TEST(judge().isDoubt());
-    BOOST_TEST(!judge().allowsEjection());
+    BOOST_TEST(evaluate().isSuspect());
+    BOOST_TEST(!evaluate().allowsEjection());
     for (int i = 0; i < 8; ++i) {
         clock_.advance(200ms);
         evidence_.record(answer("light", 300ms, clock_.now()));
     }
-    BOOST_TEST(judge().allowsEjection());
-    BOOST_TEST(std::holds_alternative<Slow>(judge().state_));
+    BOOST_TEST(evaluate().allowsEjection());
+    BOOST_TEST(std::holds_alternative<Slow>(evaluate().state_));
 }
 
 BOOST_AUTO_TEST_CASE(overdueRequestIsEvidenceBeforeItEnds)
 {
     evidence_.begin("light", clock_.now());
-    BOOST_TEST(!judge().isSick());
+    BOOST_TEST(!evaluate().isUnhealthy());
     clock_.advance(500ms);
-    BOOST_TEST(judge().isDoubt());
+    BOOST_TEST(evaluate().isSuspect());
 }
 
 BOOST_AUTO_TEST_CASE(troubleOfTheWholeServiceIsNotTheServers)
@@ -124,7 +124,7 @@
         clock_.advance(100ms);
         evidence_.record(answer("light", 300ms, clock_.now()));
     }
-    BOOST_TEST(!judge().isSick());
+    BOOST_TEST(!evaluate().isUnhealthy());
 }
 
 BOOST_AUTO_TEST_CASE(probesAloneNeitherEjectNorSave)
@@ -134,14 +134,14 @@
         evidence_.recordProbe(Observation{ "", ObservedResult::Failed, 25ms, clock_.now() });
         evidence_.record(answer("light", 25ms, clock_.now()));
     }
-    BOOST_TEST(!judge().isSick());
+    BOOST_TEST(!evaluate().isUnhealthy());
     for (int i = 0; i < 30; ++i) {
         clock_.advance(100ms);
         evidence_.recordProbe(answer("", 25ms, clock_.now()));
         evidence_.record(Observation{ "light", ObservedResult::Failed, 5ms, clock_.now() });
     }
-    BOOST_TEST(judge().allowsEjection());
-    BOOST_TEST(std::holds_alternative<Failing>(judge().state_));
+    BOOST_TEST(evaluate().allowsEjection());
+    BOOST_TEST(std::holds_alternative<Failing>(evaluate().state_));
 }
 
 BOOST_AUTO_TEST_CASE(refusedConnectsMakeItUnreachable)
@@ -150,8 +150,8 @@
         clock_.advance(200ms);
         evidence_.record(Observation{ "light", ObservedResult::ConnectFailed, 1ms, clock_.now() });
     }
-    BOOST_TEST(std::holds_alternative<Unreachable>(judge().state_));
-    BOOST_TEST(judge().allowsEjection());
+    BOOST_TEST(std::holds_alternative<Unreachable>(evaluate().state_));
+    BOOST_TEST(evaluate().allowsEjection());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/qz_health/tests/weightcontrollertest.cpp
+++ b/packages/qz_health/tests/weightcontrollertest.cpp
@@ -42,7 +42,7 @@
 BOOST_AUTO_TEST_CASE(probesAreSpentOnDoubtOnlyAndWithinABudget)
 {
     ManualClock clock;
-    DoubtProber prober;
+    ProbeScheduler prober;
     BOOST_TEST(!prober.shouldProbe(Verdict{ Healthy{}, 1 }, clock.now()));
     const Verdict doubt{ Slow{ 3 }, Verdict::weightConfidence };
     BOOST_TEST(prober.shouldProbe(doubt, clock.now()));
--- a/packages/qz_health/weights/weightcontroller.cpp
+++ b/packages/qz_health/weights/weightcontroller.cpp
@@ -10,7 +10,7 @@
 double targetOf(const Verdict &verdict)
 {
     constexpr double doubtWeight = 0.08;
-    if (!verdict.isDoubt()) {
+    if (!verdict.isSuspect()) {
         return 1;
     }
     const double sure = (verdict.confidence_ - Verdict::weightConfidence)
--- a/packages/qz_placement/choice/placement.cpp
+++ b/packages/qz_placement/choice/placement.cpp
@@ -14,94 +14,97 @@
 }
 
 Duration expectedAnswer(const PlacementCandidate &candidate, const PlacementRequest &request,
-                        const PlacementCosts &costs)
+                        const PlacementSettings &costs)
 {
-    Duration work = scaled(request.expected_, candidate.slowness_);
+    Duration work = scaled(request.expectedLatency_, candidate.relativeLatency_);
     // A request that waits for long says that the server is slower than its answers so far.
-    work = std::max(work, candidate.oldestWait_);
+    work = std::max(work, candidate.oldestRequestAge_);
     const int ahead = std::max(0, candidate.inFlight_ + 1 - candidate.slots_);
     const Duration wait = work * ahead / std::max(1, candidate.slots_);
-    const Duration travel =
-            candidate.distance_ == Distance::OtherRegion ? costs.betweenRegions_ : Duration::zero();
+    const Duration travel = candidate.distance_ == Distance::OtherRegion
+            ? costs.interRegionRoundTrip_
+            : Duration::zero();
     return work + wait + travel;
 }
 
 Duration distanceCost(const PlacementCandidate &candidate, const PlacementRequest &request,
-                      const PlacementCosts &costs)
+                      const PlacementSettings &costs)
 {
     switch (candidate.distance_) {
     case Distance::SameDomain:
         break;
     case Distance::SameRegion:
-        return scaled(request.target_, costs.sameRegion_);
+        return scaled(request.target_, costs.sameRegionCost_);
     case Distance::OtherRegion:
-        return scaled(request.target_, costs.otherRegion_);
+        return scaled(request.target_, costs.otherRegionCost_);
     }
-    return candidate.duty_ == ServerDuty::Owner ? Duration::zero()
-                                                : scaled(request.target_, costs.otherOwner_);
+    return candidate.serverRole_ == ServerRole::Owner
+            ? Duration::zero()
+            : scaled(request.target_, costs.nonOwnedCost_);
 }
 
-bool isFull(const PlacementCandidate &candidate, const PlacementCosts &costs)
+bool isFull(const PlacementCandidate &candidate, const PlacementSettings &costs)
 {
-    return candidate.inFlight_ >= candidate.slots_ * (1 + costs.queuedPerSlot_);
+    return candidate.inFlight_ >= candidate.slots_ * (1 + costs.maxQueuedPerSlot_);
 }
 
 /// Whether holds give way, and for which reason.
 struct HoldRelief
 {
-    bool isCrowded_ = false;   ///< Requests wait for the servers in good health.
+    bool isCongested_ = false; ///< Requests wait for the servers in good health.
     bool isFloorNear_ = false; ///< Many requests fail and too many servers are left out.
 };
 
 bool isDueForTrial(const PlacementCandidate &candidate, const HoldRelief &relief,
-                   const PlacementCosts &costs, TimePoint now)
+                   const PlacementSettings &costs, TimePoint now)
 {
     if (candidate.state_ == ServerHealth::State::Good || candidate.inFlight_ > 0
-        || candidate.isTried_) {
+        || candidate.wasAttempted_) {
         return false;
     }
-    switch (candidate.duty_) {
-    case ServerDuty::Owner:
-        return now >= candidate.heldUntil_
-                || ((relief.isCrowded_ || relief.isFloorNear_)
-                    && now >= candidate.heldSince_ + costs.neededHold_);
-    case ServerDuty::Deputy:
-        if (relief.isFloorNear_ && now >= candidate.heldSince_ + costs.neededDeputyHold_) {
+    switch (candidate.serverRole_) {
+    case ServerRole::Owner:
+        return now >= candidate.ejectedUntil_
+                || ((relief.isCongested_ || relief.isFloorNear_)
+                    && now >= candidate.ejectedSince_ + costs.ownerEarlyTrialDelay_);
+    case ServerRole::Backup:
+        if (relief.isFloorNear_ && now >= candidate.ejectedSince_ + costs.backupEarlyTrialDelay_) {
             return true;
         }
         break;
-    case ServerDuty::None:
+    case ServerRole::None:
         break;
     }
-    return now >= candidate.heldUntil_ + costs.foreignTrialDelay_;
+    return now >= candidate.ejectedUntil_ + costs.nonOwnerTrialDelay_;
 }
 
 /// Whether so many servers are held for long that the rest is too small a part of the service.
-bool isFloorNear(const std::vector<PlacementCandidate> &candidates, const PlacementCosts &costs,
+bool isFloorNear(const std::vector<PlacementCandidate> &candidates, const PlacementSettings &costs,
                  TimePoint now)
 {
     const auto leftOut = std::count_if(candidates.begin(), candidates.end(), [&](const auto &c) {
-        return c.state_ != ServerHealth::State::Good && now >= c.heldSince_ + costs.neededHold_;
+        return c.state_ != ServerHealth::State::Good
+                && now >= c.ejectedSince_ + costs.ownerEarlyTrialDelay_;
     });
     return static_cast<double>(leftOut)
-            > costs.maxLeftOutPart_ * static_cast<double>(candidates.size());
+            > costs.maxEjectedShare_ * static_cast<double>(candidates.size());
 }
 
 bool hasFreeSlot(const std::vector<PlacementCandidate> &candidates)
 {
     return std::any_of(candidates.begin(), candidates.end(), [](const auto &c) {
-        return c.state_ == ServerHealth::State::Good && !c.isTried_ && c.inFlight_ < c.slots_;
+        return c.state_ == ServerHealth::State::Good && !c.wasAttempted_ && c.inFlight_ < c.slots_;
     });
 }
 
 /// Whether this instance is to send the server a request so that it stays in use.
 bool isDueForUse(const PlacementCandidate &candidate, const PlacementRequest &request,
-                 const PlacementCosts &costs, TimePoint now)
+                 const PlacementSettings &costs, TimePoint now)
 {
-    const bool isIdle =
-            candidate.inFlight_ < candidate.slots_ && now - candidate.lastSent_ > costs.idlePause_;
-    const bool isKeptInUse = candidate.duty_ == ServerDuty::Owner
-            || (candidate.duty_ == ServerDuty::Deputy && request.isSpread_);
+    const bool isIdle = candidate.inFlight_ < candidate.slots_
+            && now - candidate.lastSent_ > costs.maxIdleTime_;
+    const bool isKeptInUse = candidate.serverRole_ == ServerRole::Owner
+            || (candidate.serverRole_ == ServerRole::Backup && request.shouldSpread_);
     return isIdle && isKeptInUse;
 }
 
@@ -116,7 +119,7 @@
 
     bool takes(const PlacementCandidate &candidate)
     {
-        return candidate.duty_ == ServerDuty::Owner
+        return candidate.serverRole_ == ServerRole::Owner
                 || taken_[static_cast<std::size_t>(candidate.distance_)]++ < limit_;
     }
 
@@ -150,25 +153,25 @@
 
 std::optional<Placement> choosePlacement(const std::vector<PlacementCandidate> &candidates,
                                          const PlacementRequest &request,
-                                         const PlacementCosts &costs, TimePoint now)
+                                         const PlacementSettings &costs, TimePoint now)
 {
     std::optional<Placement> best;
     Duration bestCost{};
-    ForeignSample sample(costs.comparedForeign_);
+    ForeignSample sample(costs.nonOwnedSampleSize_);
     std::optional<Placement> leastHeld;
     Duration leastHold{};
     const PlacementCandidate *longestHeld = nullptr; // Of those whose trial is due.
     std::optional<Placement> trial;
-    const HoldRelief relief{ request.isCrowded_ || !hasFreeSlot(candidates),
-                             request.isSpread_ && isFloorNear(candidates, costs, now) };
+    const HoldRelief relief{ request.isCongested_ || !hasFreeSlot(candidates),
+                             request.shouldSpread_ && isFloorNear(candidates, costs, now) };
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         const PlacementCandidate &candidate = candidates[i];
-        if (candidate.isTried_ || isFull(candidate, costs)) {
+        if (candidate.wasAttempted_ || isFull(candidate, costs)) {
             continue;
         }
         const Duration expected = expectedAnswer(candidate, request, costs);
         if (isDueForTrial(candidate, relief, costs, now)) {
-            if (longestHeld == nullptr || candidate.heldSince_ < longestHeld->heldSince_) {
+            if (longestHeld == nullptr || candidate.ejectedSince_ < longestHeld->ejectedSince_) {
                 longestHeld = &candidate;
                 trial = Placement{ i, true, expected };
             }
@@ -178,7 +181,7 @@
             continue;
         }
         if (candidate.state_ != ServerHealth::State::Good) {
-            const Duration hold = std::max(Duration::zero(), candidate.heldUntil_ - now)
+            const Duration hold = std::max(Duration::zero(), candidate.ejectedUntil_ - now)
                     + distanceCost(candidate, request, costs);
             if (!leastHeld || hold < leastHold) {
                 leastHeld = Placement{ i, true, expected };
