--- a/packages/qz_placement/choice/placement.h
+++ b/packages/qz_placement/choice/placement.h
@@ -3,7 +3,7 @@
 
 #include "qz_core/ids/ids.h"
 #include "qz_core/time/clock.h"
-#include "qz_placement/choice/serverduties.h"
+#include "qz_placement/choice/serverroles.h"
 #include "qz_placement/health/serverhealth.h"
 
 #include <optional>
@@ -22,71 +22,71 @@
 {
     Distance distance_ = Distance::SameDomain;
     ServerHealth::State state_ = ServerHealth::State::Good;
-    TimePoint heldUntil_{};
-    TimePoint heldSince_{};
-    TimePoint lastSent_{};                ///< When it last got a request from this instance.
-    int slots_ = 1;                       ///< Requests that the server works on at once.
-    int inFlight_ = 0;                    ///< Requests of this instance that it has not answered.
-    double slowness_ = 1.0;               ///< Its time in relation to the service's mean.
-    Duration oldestWait_{ 0 };            ///< Age of the oldest request that it has not answered.
-    bool isTried_ = false;                ///< This request was sent to it before.
-    ServerDuty duty_ = ServerDuty::Owner; ///< Of this instance.
+    TimePoint ejectedUntil_{};
+    TimePoint ejectedSince_{};
+    TimePoint lastSent_{};           ///< When it last got a request from this instance.
+    int slots_ = 1;                  ///< Requests that the server works on at once.
+    int inFlight_ = 0;               ///< Requests of this instance that it has not answered.
+    double relativeLatency_ = 1.0;   ///< Its time in relation to the service's mean.
+    Duration oldestRequestAge_{ 0 }; ///< Age of the oldest request that it has not answered.
+    bool wasAttempted_ = false;      ///< This request was sent to it before.
+    ServerRole serverRole_ = ServerRole::Owner; ///< Of this instance.
 };
 
 /// What the choice knows of the request.
 struct PlacementRequest
 {
     bool isRepeatable_ = false;
-    Duration target_{};   ///< Time within which the answer is in target.
-    Duration timeLeft_{}; ///< Until the request ends in any case.
-    Duration expected_{}; ///< Mean time of an answer of the service.
+    Duration target_{};          ///< Time within which the answer is in target.
+    Duration timeLeft_{};        ///< Until the request ends in any case.
+    Duration expectedLatency_{}; ///< Mean time of an answer of the service.
     /// Many of the service's requests fail: spread the others over all its servers.
-    bool isSpread_ = false;
+    bool shouldSpread_ = false;
     /// Requests wait for the servers in use: held ones are worth a trial. @see ServiceLatency
-    bool isCrowded_ = false;
+    bool isCongested_ = false;
 };
 
 /// The part of a service's requests at one instance that fails from which on
-/// PlacementRequest::isSpread_ holds. Below the tenth, over all instances, at which the floor of
-/// servers in use binds: what one instance sees differs from the whole by a few in a hundred.
-constexpr double spreadLevel = 0.08;
+/// PlacementRequest::shouldSpread_ holds. Below the tenth, over all instances, at which the floor
+/// of servers in use binds: what one instance sees differs from the whole by a few in a hundred.
+constexpr double spreadFailureRate = 0.08;
 
 /// What a server costs beside its time, as a part of the request's target time. Bytes between
 /// failure domains and regions are paid by volume, so work stays near unless it would be late
 /// there.
-struct PlacementCosts
+struct PlacementSettings
 {
     /// A server of the domain that another instance owns: how much of that one's work waits
     /// there is not known here.
-    double otherOwner_ = 0.05;
-    double sameRegion_ = 0.25;
-    double otherRegion_ = 0.6;
-    Duration betweenRegions_ = std::chrono::milliseconds(24); ///< Round trip.
+    double nonOwnedCost_ = 0.05;
+    double sameRegionCost_ = 0.25;
+    double otherRegionCost_ = 0.6;
+    Duration interRegionRoundTrip_ = std::chrono::milliseconds(24); ///< Round trip.
     /// A held server that another instance owns is tried by this one at last after this time.
-    Duration foreignTrialDelay_ = std::chrono::seconds(8);
+    Duration nonOwnerTrialDelay_ = std::chrono::seconds(8);
     /// A hold gives way at the server's owner after this time if requests wait for the servers
     /// in good health. While many requests fail the floor counts a server as sound again then, and
-    /// the longest held ones are tried if more than maxLeftOutPart_ of the servers are held for
+    /// the longest held ones are tried if more than maxEjectedShare_ of the servers are held for
     /// so long.
-    Duration neededHold_ = std::chrono::seconds(2);
+    Duration ownerEarlyTrialDelay_ = std::chrono::seconds(2);
     /// The same at the server's deputy: longer by what a trial by the owner and its note take.
-    Duration neededDeputyHold_ = std::chrono::milliseconds(2700);
+    Duration backupEarlyTrialDelay_ = std::chrono::milliseconds(2700);
     /// Half of what the floor leaves, since it counts the servers without disruption alone.
-    double maxLeftOutPart_ = 0.15;
+    double maxEjectedShare_ = 0.15;
     /// A server that got no request for so long goes before the others, so that enough of a
     /// service's servers are in use when many requests come to fail.
-    Duration idlePause_ = std::chrono::milliseconds(1300);
-    int queuedPerSlot_ = 4; ///< Requests of this instance that may wait at a server, a slot.
+    Duration maxIdleTime_ = std::chrono::milliseconds(1300);
+    int maxQueuedPerSlot_ = 4; ///< Requests of this instance that may wait at a server, a slot.
     /// Servers of other owners that are compared, of each distance. If all instances took the
     /// best of all, they would take the same one, as none sees the others' work.
-    int comparedForeign_ = 3;
+    int nonOwnedSampleSize_ = 3;
 };
 
 struct Placement
 {
     std::size_t index_ = 0;
     bool isTrial_ = false;
-    Duration expected_{}; ///< Until the answer.
+    Duration expectedLatency_{}; ///< Until the answer.
 };
 
 /// Load pattern: slots suffice on the whole, but a part of the servers fails or is slow at
@@ -104,6 +104,6 @@
 /// that failed for a moment must not be left out then.
 std::optional<Placement> choosePlacement(const std::vector<PlacementCandidate> &candidates,
                                          const PlacementRequest &request,
-                                         const PlacementCosts &costs, TimePoint now);
+                                         const PlacementSettings &costs, TimePoint now);
 
 } // namespace qz
--- a/packages/qz_placement/choice/serverduties.cpp
+++ b/packages/qz_placement/choice/serverroles.cpp
@@ -1,5 +1,5 @@
 // Owner and deputy of a server by rendezvous hash.
-#include "qz_placement/choice/serverduties.h"
+#include "qz_placement/choice/serverroles.h"
 
 #include "qz_core/hashing/rendezvous.h"
 
@@ -13,7 +13,7 @@
 /// Servers that are known for longer than the list keeps them are forgotten at this number.
 constexpr std::size_t knownLimit = 10000;
 
-bool isSame(const std::vector<DutyCandidate> &a, const std::vector<DutyCandidate> &b)
+bool isSame(const std::vector<RoleCandidate> &a, const std::vector<RoleCandidate> &b)
 {
     return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](const auto &x, const auto &y) {
         return x.id_ == y.id_ && x.location_.failureDomain_ == y.location_.failureDomain_;
@@ -22,12 +22,12 @@
 
 /// The id of the first of those that @p isEligible accepts; empty if it accepts none.
 template<typename Predicate>
-InstanceId firstOf(const std::vector<DutyCandidate> &candidates, const BackendServerId &server,
+InstanceId firstOf(const std::vector<RoleCandidate> &candidates, const BackendServerId &server,
                    Predicate isEligible)
 {
-    const DutyCandidate *first = nullptr;
+    const RoleCandidate *first = nullptr;
     std::uint64_t highest = 0;
-    for (const DutyCandidate &candidate : candidates) {
+    for (const RoleCandidate &candidate : candidates) {
         if (!isEligible(candidate)) {
             continue;
         }
@@ -42,12 +42,12 @@
 
 } // namespace
 
-ServerDuties::ServerDuties(InstanceId self)
+ServerRoles::ServerRoles(InstanceId self)
     : self_(std::move(self))
 {
 }
 
-void ServerDuties::setCandidates(std::vector<DutyCandidate> candidates)
+void ServerRoles::setCandidates(std::vector<RoleCandidate> candidates)
 {
     if (!isSame(candidates, candidates_)) {
         candidates_ = std::move(candidates);
@@ -55,7 +55,7 @@
     }
 }
 
-ServerDuty ServerDuties::find(const BackendServerId &server, const Location &location) const
+ServerRole ServerRoles::find(const BackendServerId &server, const Location &location) const
 {
     const auto found = known_.find(server);
     if (found != known_.end()) {
@@ -67,22 +67,22 @@
     return known_[server] = compute(server, location);
 }
 
-ServerDuty ServerDuties::compute(const BackendServerId &server, const Location &location) const
+ServerRole ServerRoles::compute(const BackendServerId &server, const Location &location) const
 {
-    const auto isOfDomain = [&location](const DutyCandidate &candidate) {
+    const auto isOfDomain = [&location](const RoleCandidate &candidate) {
         return candidate.location_.failureDomain_ == location.failureDomain_;
     };
     if (firstOf(candidates_, server, isOfDomain) == self_) {
-        return ServerDuty::Owner;
+        return ServerRole::Owner;
     }
-    const auto isNear = [&](const DutyCandidate &candidate) {
+    const auto isNear = [&](const RoleCandidate &candidate) {
         return !isOfDomain(candidate) && candidate.location_.region_ == location.region_;
     };
     InstanceId deputy = firstOf(candidates_, server, isNear);
     if (deputy.isEmpty()) {
         deputy = firstOf(candidates_, server, [&](const auto &c) { return !isOfDomain(c); });
     }
-    return deputy == self_ ? ServerDuty::Deputy : ServerDuty::None;
+    return deputy == self_ ? ServerRole::Backup : ServerRole::None;
 }
 
 } // namespace qz
--- a/packages/qz_placement/choice/serverduties.h
+++ b/packages/qz_placement/choice/serverroles.h
@@ -12,14 +12,14 @@
 /// What an instance does to keep a server in use and to find out whether it has recovered.
 /// Other instances use the server by its cost alone, so that few requests find out that it
 /// fails.
-enum class ServerDuty : std::uint8_t {
+enum class ServerRole : std::uint8_t {
     None,
     Owner,  ///< One instance of the server's failure domain.
-    Deputy, ///< One of another domain: steps in while many requests fail.
+    Backup, ///< One of another domain: steps in while many requests fail.
 };
 
 /// An instance that callers are sent to.
-struct DutyCandidate
+struct RoleCandidate
 {
     InstanceId id_;
     Location location_;
@@ -29,24 +29,24 @@
 /// rendezvous hash. Instances that disagree on who these are leave a server without its owner,
 /// or with two, for a moment; the deputy covers the first case.
 /// @see choosePlacement
-class ServerDuties
+class ServerRoles
 {
 public:
-    explicit ServerDuties(InstanceId self);
+    explicit ServerRoles(InstanceId self);
 
     /// The instances that callers of all failure domains are sent to.
-    void setCandidates(std::vector<DutyCandidate> candidates);
+    void setCandidates(std::vector<RoleCandidate> candidates);
 
     /// This instance's duty for a server.
-    ServerDuty find(const BackendServerId &server, const Location &location) const;
+    ServerRole find(const BackendServerId &server, const Location &location) const;
 
 private:
-    ServerDuty compute(const BackendServerId &server, const Location &location) const;
+    ServerRole compute(const BackendServerId &server, const Location &location) const;
 
     const InstanceId self_;
-    std::vector<DutyCandidate> candidates_;
+    std::vector<RoleCandidate> candidates_;
     /// Invariant: computed with the present candidates, for servers asked for since.
-    mutable std::map<BackendServerId, ServerDuty> known_;
+    mutable std::map<BackendServerId, ServerRole> known_;
 };
 
 } // namespace qz
--- a/packages/qz_placement/health/servedshare.cpp
+++ b/packages/qz_placement/health/failureratetracker.cpp
@@ -1,5 +1,5 @@
 // Two sliding windows of requests' ends.
-#include "qz_placement/health/servedshare.h"
+#include "qz_placement/health/failureratetracker.h"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void ServedShare::record(bool isServed, TimePoint now)
+void FailureRateTracker::record(bool isServed, TimePoint now)
 {
     for (Window &window : windows_) {
         window.forget(now);
@@ -21,24 +21,24 @@
     }
 }
 
-double ServedShare::unserved(TimePoint now)
+double FailureRateTracker::failureRate(TimePoint now)
 {
     double worst = 0.0;
     for (Window &window : windows_) {
         window.forget(now);
-        worst = std::max(worst, window.unserved());
+        worst = std::max(worst, window.failureRate());
     }
     return worst;
 }
 
-double ServedShare::Window::unserved() const
+double FailureRateTracker::Window::failureRate() const
 {
     return ends_.size() < enoughEnds
             ? 0.0
             : static_cast<double>(unservedCount_) / static_cast<double>(ends_.size());
 }
 
-void ServedShare::Window::forget(TimePoint now)
+void FailureRateTracker::Window::forget(TimePoint now)
 {
     while (!ends_.empty() && now - ends_.front().at_ > length_) {
         unservedCount_ -= ends_.front().isServed_ ? 0 : 1;
--- a/packages/qz_placement/health/servedshare.h
+++ b/packages/qz_placement/health/failureratetracker.h
@@ -10,14 +10,14 @@
 
 /// Counts the ends of requests over the last seconds, and over the last second alone, so that
 /// a sudden rise of failures shows at once.
-class ServedShare
+class FailureRateTracker
 {
 public:
     void record(bool isServed, TimePoint now);
 
     /// The part that was not served, 0 to 1, in the worse of the two windows; 0 with too few
     /// requests to tell.
-    double unserved(TimePoint now);
+    double failureRate(TimePoint now);
 
 private:
     struct End
@@ -32,7 +32,7 @@
         int unservedCount_ = 0;
 
         void forget(TimePoint now);
-        double unserved() const;
+        double failureRate() const;
     };
 
     std::array<Window, 2> windows_{ { { std::chrono::seconds(3), {}, 0 },
--- a/packages/qz_placement/health/serverhealth.cpp
+++ b/packages/qz_placement/health/serverhealth.cpp
@@ -23,23 +23,23 @@
 
 /// Evidence of one result. Sound servers answer with a failure, shed when full and lose an
 /// answer now and then, so these count in part only.
-double weightOf(TryResult result, bool isEarly)
+double weightOf(AttemptResult result, bool isEarly)
 {
     switch (result) {
-    case TryResult::Cut:
+    case AttemptResult::Cut:
         return isEarly ? 1.0 : 0.6;
-    case TryResult::Silent:
-    case TryResult::TimedOut:
-    case TryResult::ConnectFailed:
-    case TryResult::WrongInstance:
+    case AttemptResult::Silent:
+    case AttemptResult::TimedOut:
+    case AttemptResult::ConnectFailed:
+    case AttemptResult::WrongInstance:
         return 1.0;
-    case TryResult::ServerError:
+    case AttemptResult::ServerError:
         return 0.6;
-    case TryResult::Shed:
-    case TryResult::Overtaken:
+    case AttemptResult::Shed:
+    case AttemptResult::Overtaken:
         return 0.4;
-    case TryResult::Answered:
-    case TryResult::Cancelled:
+    case AttemptResult::Answered:
+    case AttemptResult::Cancelled:
         break;
     }
     return 0.0;
@@ -47,40 +47,40 @@
 
 } // namespace
 
-std::string_view toString(TryResult result)
+std::string_view toString(AttemptResult result)
 {
     switch (result) {
-    case TryResult::Answered:
+    case AttemptResult::Answered:
         return "answered";
-    case TryResult::ServerError:
+    case AttemptResult::ServerError:
         return "server-error";
-    case TryResult::Shed:
+    case AttemptResult::Shed:
         return "shed";
-    case TryResult::Cut:
+    case AttemptResult::Cut:
         return "cut";
-    case TryResult::Silent:
+    case AttemptResult::Silent:
         return "silent";
-    case TryResult::TimedOut:
+    case AttemptResult::TimedOut:
         return "timed-out";
-    case TryResult::ConnectFailed:
+    case AttemptResult::ConnectFailed:
         return "connect-failed";
-    case TryResult::WrongInstance:
+    case AttemptResult::WrongInstance:
         return "wrong-instance";
-    case TryResult::Overtaken:
+    case AttemptResult::Overtaken:
         return "overtaken";
-    case TryResult::Cancelled:
+    case AttemptResult::Cancelled:
         break;
     }
     return "cancelled";
 }
 
-bool isOfServer(TryResult result)
+bool isServerFault(AttemptResult result)
 {
-    return result == TryResult::Cut || result == TryResult::ServerError
-            || result == TryResult::WrongInstance;
+    return result == AttemptResult::Cut || result == AttemptResult::ServerError
+            || result == AttemptResult::WrongInstance;
 }
 
-ServerHealth::ServerHealth(HealthLimits limits)
+ServerHealth::ServerHealth(EjectionLimits limits)
     : limits_(limits)
 {
 }
@@ -90,38 +90,38 @@
     if (trialsLeft_ == 0) {
         return State::Good;
     }
-    return now < heldUntil_ ? State::Held : State::Trial;
+    return now < ejectedUntil_ ? State::Ejected : State::Trial;
 }
 
-bool ServerHealth::record(TryResult result, Duration took, bool isRepeatable, TimePoint now)
+bool ServerHealth::record(AttemptResult result, Duration took, bool isRepeatable, TimePoint now)
 {
-    if (result == TryResult::Cancelled) {
+    if (result == AttemptResult::Cancelled) {
         return false;
     }
-    if (result == TryResult::Answered) {
+    if (result == AttemptResult::Answered) {
         const double gain = meanLatency_ == Duration::zero() ? 1.0 : latencyGain;
         meanLatency_ += std::chrono::duration_cast<Duration>((took - meanLatency_) * gain);
         quickest_ += std::chrono::duration_cast<Duration>(quickest_ * quickestDrift);
         quickest_ = quickest_ == Duration::zero() ? took : std::min(quickest_, took);
-        suspicion_ /= 2.0;
+        failureScore_ /= 2.0;
         // Answers to requests from before the hold say nothing of the trial.
-        if (trialsLeft_ > 0 && now - took >= heldSince_ && --trialsLeft_ == 0) {
-            heldUntil_ = std::min(heldUntil_, now);
+        if (trialsLeft_ > 0 && now - took >= ejectedSince_ && --trialsLeft_ == 0) {
+            ejectedUntil_ = std::min(ejectedUntil_, now);
             nextHold_ = Duration::zero();
         }
         return false;
     }
     // A queue lengthens the mean, not the quickest answers.
     const bool isEarly = quickest_ == Duration::zero() || took < quickest_ * earlyPart;
-    suspicion_ += weightOf(result, isEarly);
+    failureScore_ += weightOf(result, isEarly);
     const bool isOnTrial = trialsLeft_ > 0;
-    if (suspicion_ < holdLevel && !isOnTrial) {
+    if (failureScore_ < holdLevel && !isOnTrial) {
         return false;
     }
     // Requests that were under way when the hold began fail together; they are one failure.
-    const bool wasUnderWay = trialsLeft_ > 0 && now - took < heldSince_;
+    const bool wasUnderWay = trialsLeft_ > 0 && now - took < ejectedSince_;
     if (!wasUnderWay) {
-        hold(!isRepeatable && isEarly && isOfServer(result), now);
+        hold(!isRepeatable && isEarly && isServerFault(result), now);
         return true;
     }
     return false;
@@ -129,31 +129,32 @@
 
 void ServerHealth::hold(bool isCostly, TimePoint now)
 {
-    const Duration first = isCostly ? limits_.firstCostlyHold_ : limits_.firstHold_;
+    const Duration first =
+            isCostly ? limits_.nonRepeatableBaseEjectionTime_ : limits_.baseEjectionTime_;
     const Duration length = std::max(first, nextHold_);
-    heldSince_ = now;
-    heldUntil_ = now + length;
-    nextHold_ = std::min(length * 2, limits_.longestHold_);
+    ejectedSince_ = now;
+    ejectedUntil_ = now + length;
+    nextHold_ = std::min(length * 2, limits_.maxEjectionTime_);
     trialsLeft_ = limits_.trialSuccesses_;
-    suspicion_ = 0.0;
+    failureScore_ = 0.0;
 }
 
-void ServerHealth::adoptHold(Duration hold, TimePoint now)
+void ServerHealth::applyReportedEjection(Duration hold, TimePoint now)
 {
-    heldSince_ = now;
-    heldUntil_ = std::max(heldUntil_, now + std::min(hold, limits_.longestHold_));
+    ejectedSince_ = now;
+    ejectedUntil_ = std::max(ejectedUntil_, now + std::min(hold, limits_.maxEjectionTime_));
     trialsLeft_ = std::max(trialsLeft_, 1);
 }
 
-void ServerHealth::adoptRecovery(TimePoint now)
+void ServerHealth::applyReportedRecovery(TimePoint now)
 {
-    heldUntil_ = std::min(heldUntil_, now);
+    ejectedUntil_ = std::min(ejectedUntil_, now);
     trialsLeft_ = 0;
-    suspicion_ = 0.0;
+    failureScore_ = 0.0;
     nextHold_ = Duration::zero();
 }
 
-double ServerHealth::slowness(Duration expected) const
+double ServerHealth::relativeLatency(Duration expected) const
 {
     if (meanLatency_ == Duration::zero() || expected <= Duration::zero()) {
         return 1.0;
--- a/packages/qz_placement/health/serverhealth.h
+++ b/packages/qz_placement/health/serverhealth.h
@@ -9,7 +9,7 @@
 namespace qz {
 
 /// How a request sent to a backend server ended.
-enum class TryResult : std::uint8_t {
+enum class AttemptResult : std::uint8_t {
     Answered,      ///< A whole answer that is no failure of the server.
     ServerError,   ///< The server answered that it failed.
     Shed,          ///< The server said that it did not run the request.
@@ -22,21 +22,21 @@
     Cancelled,     ///< Given up for a reason that does not lie with the server.
 };
 
-std::string_view toString(TryResult result);
+std::string_view toString(AttemptResult result);
 
 /// Whether a failure says something of the server for all instances, rather than of the way
 /// from this one to it.
-bool isOfServer(TryResult result);
+bool isServerFault(AttemptResult result);
 
 /// How long a server is left alone after a failure, and how it comes back.
-struct HealthLimits
+struct EjectionLimits
 {
     /// After the first failure of a request that may be repeated.
-    Duration firstHold_ = std::chrono::milliseconds(1500);
+    Duration baseEjectionTime_ = std::chrono::milliseconds(1500);
     /// After the first failure of one that may not: its trial costs a request, so it comes
     /// when most spells of failure are over.
-    Duration firstCostlyHold_ = std::chrono::seconds(6);
-    Duration longestHold_ = std::chrono::seconds(8); ///< Holds double up to this.
+    Duration nonRepeatableBaseEjectionTime_ = std::chrono::seconds(6);
+    Duration maxEjectionTime_ = std::chrono::seconds(8); ///< Holds double up to this.
     int trialSuccesses_ = 2; ///< Answers in a row that end the trial of a held server.
 };
 
@@ -54,41 +54,41 @@
 {
 public:
     enum class State : std::uint8_t {
-        Good,  ///< Gets work by its load and latency.
-        Held,  ///< Gets no work while there is another server.
-        Trial, ///< Gets one request at a time.
+        Good,    ///< Gets work by its load and latency.
+        Ejected, ///< Gets no work while there is another server.
+        Trial,   ///< Gets one request at a time.
     };
 
-    explicit ServerHealth(HealthLimits limits = {});
+    explicit ServerHealth(EjectionLimits limits = {});
 
     State state(TimePoint now) const;
     /// When a held server may be tried again.
-    TimePoint heldUntil() const { return heldUntil_; }
+    TimePoint ejectedUntil() const { return ejectedUntil_; }
 
     /// When the current hold began.
-    TimePoint heldSince() const { return heldSince_; }
+    TimePoint ejectedSince() const { return ejectedSince_; }
 
     /// Takes the end of a request that took @p took. True if this began or prolonged a hold.
-    bool record(TryResult result, Duration took, bool isRepeatable, TimePoint now);
+    bool record(AttemptResult result, Duration took, bool isRepeatable, TimePoint now);
 
     /// Takes the word of another instance that the server fails. Not prolonged by repeats.
-    void adoptHold(Duration hold, TimePoint now);
+    void applyReportedEjection(Duration hold, TimePoint now);
     /// Takes the word of another instance that the server answers again.
-    void adoptRecovery(TimePoint now);
+    void applyReportedRecovery(TimePoint now);
 
     /// The mean time of recent answers in relation to @p expected; 1 with no answer yet.
-    double slowness(Duration expected) const;
+    double relativeLatency(Duration expected) const;
 
     /// Failures weighed by how rare they are at a sound server; halved by each answer.
-    double suspicion() const { return suspicion_; }
+    double failureScore() const { return failureScore_; }
 
 private:
     void hold(bool isCostly, TimePoint now);
 
-    HealthLimits limits_;
-    double suspicion_ = 0.0;
-    TimePoint heldUntil_{}; ///< In the past: not held.
-    TimePoint heldSince_{};
+    EjectionLimits limits_;
+    double failureScore_ = 0.0;
+    TimePoint ejectedUntil_{}; ///< In the past: not held.
+    TimePoint ejectedSince_{};
     Duration nextHold_{ 0 };    ///< Of the next failure; zero: the first hold.
     int trialsLeft_ = 0;        ///< Above zero: held or on trial.
     Duration meanLatency_{ 0 }; ///< Zero: no answer yet.
--- a/packages/qz_placement/health/servicelatency.cpp
+++ b/packages/qz_placement/health/servicelatency.cpp
@@ -40,7 +40,7 @@
     mean_ += scaled(took - mean_, gain);
     high_ += took > high_ ? scaled(mean_, highStepUp) : -scaled(mean_, highStepDown);
     high_ = std::max(high_, mean_);
-    if (!isKnown()) {
+    if (!hasEnoughSamples()) {
         return;
     }
     if (now - periodStart_ > lowestPeriod) {
@@ -50,26 +50,26 @@
     lowest_ = std::min(lowest_, mean_);
 }
 
-bool ServiceLatency::isCrowded() const
+bool ServiceLatency::isCongested() const
 {
     const Duration lowest =
             lowestBefore_ == Duration::zero() ? lowest_ : std::min(lowest_, lowestBefore_);
-    return isKnown() && mean_ > scaled(lowest, crowdedFactor);
+    return hasEnoughSamples() && mean_ > scaled(lowest, crowdedFactor);
 }
 
-bool ServiceLatency::isKnown() const
+bool ServiceLatency::hasEnoughSamples() const
 {
     return count_ >= enoughAnswers;
 }
 
 Duration ServiceLatency::mean(Duration target) const
 {
-    return isKnown() ? mean_ : scaled(target, assumedMean);
+    return hasEnoughSamples() ? mean_ : scaled(target, assumedMean);
 }
 
-Duration ServiceLatency::high(Duration target) const
+Duration ServiceLatency::percentile90(Duration target) const
 {
-    return isKnown() ? high_ : scaled(target, assumedHigh);
+    return hasEnoughSamples() ? high_ : scaled(target, assumedHigh);
 }
 
 } // namespace qz
--- a/packages/qz_placement/health/servicelatency.h
+++ b/packages/qz_placement/health/servicelatency.h
@@ -13,17 +13,17 @@
     void record(Duration took, TimePoint now);
 
     /// There were enough answers to tell.
-    bool isKnown() const;
+    bool hasEnoughSamples() const;
 
     /// Mean time of an answer; @p target is that of the request that asks.
     Duration mean(Duration target) const;
 
     /// A time that about nine in ten answers do not exceed.
-    Duration high(Duration target) const;
+    Duration percentile90(Duration target) const;
 
     /// Answers take much longer than they did within the last minutes: requests wait for the
     /// servers in use.
-    bool isCrowded() const;
+    bool isCongested() const;
 
 private:
     Duration mean_{ 0 }; ///< Zero: no answer yet.
--- a/packages/qz_placement/qz_placement.h
+++ b/packages/qz_placement/qz_placement.h
@@ -3,8 +3,8 @@
 #pragma once
 
 #include "qz_placement/choice/placement.h"
-#include "qz_placement/choice/serverduties.h"
-#include "qz_placement/health/servedshare.h"
+#include "qz_placement/choice/serverroles.h"
+#include "qz_placement/health/failureratetracker.h"
 #include "qz_placement/health/serverhealth.h"
 #include "qz_placement/health/servicelatency.h"
 #include "qz_placement/retries/retryallowance.h"
--- a/packages/qz_placement/retries/retryallowance.cpp
+++ b/packages/qz_placement/retries/retryallowance.cpp
@@ -22,7 +22,7 @@
     requests_.push_back(now);
 }
 
-bool RetryAllowance::take(TimePoint now)
+bool RetryAllowance::tryAcquire(TimePoint now)
 {
     forget(now);
     if (static_cast<double>(retries_.size()) + 1.0 > allowed()) {
@@ -32,7 +32,7 @@
     return true;
 }
 
-double RetryAllowance::used(TimePoint now)
+double RetryAllowance::usedShare(TimePoint now)
 {
     forget(now);
     return allowed() < 1.0 ? 1.0 : static_cast<double>(retries_.size()) / allowed();
--- a/packages/qz_placement/retries/retryallowance.h
+++ b/packages/qz_placement/retries/retryallowance.h
@@ -31,10 +31,10 @@
     void countRequest(TimePoint now);
 
     /// Counts a second try if it is allowed; false if it must not be sent.
-    bool take(TimePoint now);
+    bool tryAcquire(TimePoint now);
 
     /// The part of the allowance that is used, 0 to 1; 1 where nothing is allowed.
-    double used(TimePoint now);
+    double usedShare(TimePoint now);
 
 private:
     void forget(TimePoint now);
--- a/packages/qz_placement/tests/placementtest.cpp
+++ b/packages/qz_placement/tests/placementtest.cpp
@@ -5,10 +5,10 @@
 #include <boost/test/unit_test.hpp>
 
 using namespace std::chrono_literals;
+using qz::AttemptResult;
 using qz::Distance;
-using qz::ServerDuty;
 using qz::ServerHealth;
-using qz::TryResult;
+using qz::ServerRole;
 
 namespace {
 
@@ -29,7 +29,7 @@
     qz::PlacementRequest request;
     request.target_ = 500ms;
     request.timeLeft_ = 1500ms;
-    request.expected_ = 200ms;
+    request.expectedLatency_ = 200ms;
     return request;
 }
 
@@ -45,7 +45,7 @@
 ServerHealth makeHeld(qz::TimePoint at, bool isRepeatable = true)
 {
     ServerHealth health;
-    health.record(TryResult::Cut, 1ms, isRepeatable, at);
+    health.record(AttemptResult::Cut, 1ms, isRepeatable, at);
     return health;
 }
 
@@ -53,8 +53,8 @@
 {
     auto candidate = makeCandidate(Distance::SameDomain, 0);
     candidate.state_ = health.state(now);
-    candidate.heldUntil_ = health.heldUntil();
-    candidate.heldSince_ = health.heldSince();
+    candidate.ejectedUntil_ = health.ejectedUntil();
+    candidate.ejectedSince_ = health.ejectedSince();
     return candidate;
 }
 
@@ -76,7 +76,7 @@
 BOOST_AUTO_TEST_CASE(workStaysWithOwnedServersUntilItWouldWaitThere)
 {
     auto other = makeCandidate(Distance::SameDomain, 0);
-    other.duty_ = ServerDuty::None;
+    other.serverRole_ = ServerRole::None;
     BOOST_TEST(choose({ other, makeCandidate(Distance::SameDomain, 1) }) == 1);
     BOOST_TEST(choose({ other, makeCandidate(Distance::SameDomain, 2) }) == 0);
 }
@@ -94,88 +94,89 @@
 BOOST_AUTO_TEST_CASE(aServerOnWhichARequestWaitsLongIsTakenForSlow)
 {
     auto stuck = makeCandidate(Distance::SameDomain, 1);
-    stuck.oldestWait_ = 900ms;
+    stuck.oldestRequestAge_ = 900ms;
     BOOST_TEST(choose({ stuck, makeCandidate(Distance::SameDomain, 1) }) == 1);
 }
 
 BOOST_AUTO_TEST_CASE(aResetAtOnceHoldsAServerAndOneInPlaceOfAnAnswerDoesNot)
 {
     ServerHealth health;
-    BOOST_TEST(!health.record(TryResult::Answered, 200ms, false, start));
-    BOOST_TEST(!health.record(TryResult::Cut, 190ms, false, start));
+    BOOST_TEST(!health.record(AttemptResult::Answered, 200ms, false, start));
+    BOOST_TEST(!health.record(AttemptResult::Cut, 190ms, false, start));
     BOOST_CHECK(health.state(start) == ServerHealth::State::Good);
-    BOOST_TEST(health.record(TryResult::Cut, 1ms, false, start));
-    BOOST_CHECK(health.state(start) == ServerHealth::State::Held);
+    BOOST_TEST(health.record(AttemptResult::Cut, 1ms, false, start));
+    BOOST_CHECK(health.state(start) == ServerHealth::State::Ejected);
 }
 
 BOOST_AUTO_TEST_CASE(aLostAnswerIsNotTakenForARefusalWhereAnswersWaitInAQueue)
 {
     ServerHealth health;
     for (int i = 0; i < 20; ++i) {
-        health.record(TryResult::Answered, i % 5 == 0 ? 180ms : 900ms, false, start);
+        health.record(AttemptResult::Answered, i % 5 == 0 ? 180ms : 900ms, false, start);
     }
-    BOOST_TEST(!health.record(TryResult::Cut, 150ms, false, start));
-    health.record(TryResult::Answered, 900ms, false, start);
-    BOOST_TEST(health.record(TryResult::Cut, 2ms, false, start));
+    BOOST_TEST(!health.record(AttemptResult::Cut, 150ms, false, start));
+    health.record(AttemptResult::Answered, 900ms, false, start);
+    BOOST_TEST(health.record(AttemptResult::Cut, 2ms, false, start));
 }
 
 BOOST_AUTO_TEST_CASE(aRareServerErrorHoldsNobodyAndTwoInARowDo)
 {
     ServerHealth health;
     for (int i = 0; i < 49; ++i) {
-        const auto result = i % 10 == 9 ? TryResult::ServerError : TryResult::Answered;
+        const auto result = i % 10 == 9 ? AttemptResult::ServerError : AttemptResult::Answered;
         BOOST_TEST(!health.record(result, 200ms, true, start));
     }
-    BOOST_TEST(!health.record(TryResult::ServerError, 200ms, true, start));
-    BOOST_TEST(health.record(TryResult::ServerError, 200ms, true, start));
+    BOOST_TEST(!health.record(AttemptResult::ServerError, 200ms, true, start));
+    BOOST_TEST(health.record(AttemptResult::ServerError, 200ms, true, start));
 }
 
 BOOST_AUTO_TEST_CASE(requestsThatFailTogetherAreOneFailure)
 {
     ServerHealth health;
-    health.record(TryResult::Cut, 1ms, true, start);
-    const auto until = health.heldUntil();
-    BOOST_TEST(!health.record(TryResult::Cut, 20ms, true, start + 10ms));
-    BOOST_CHECK(health.heldUntil() == until);
+    health.record(AttemptResult::Cut, 1ms, true, start);
+    const auto until = health.ejectedUntil();
+    BOOST_TEST(!health.record(AttemptResult::Cut, 20ms, true, start + 10ms));
+    BOOST_CHECK(health.ejectedUntil() == until);
 }
 
 BOOST_AUTO_TEST_CASE(aFailedTrialWithinAHoldProlongsIt)
 {
     ServerHealth health = makeHeld(start, false);
-    const auto until = health.heldUntil();
+    const auto until = health.ejectedUntil();
     const auto now = start + 3s;
-    BOOST_TEST(health.record(TryResult::Cut, 1ms, false, now));
-    BOOST_CHECK(health.heldSince() == now);
-    BOOST_CHECK(health.heldUntil() > until);
+    BOOST_TEST(health.record(AttemptResult::Cut, 1ms, false, now));
+    BOOST_CHECK(health.ejectedSince() == now);
+    BOOST_CHECK(health.ejectedUntil() > until);
 }
 
 BOOST_AUTO_TEST_CASE(holdsGrowWithFailedTrialsAndEndAfterTwoAnswers)
 {
     ServerHealth health = makeHeld(start);
-    qz::TimePoint now = health.heldUntil();
+    qz::TimePoint now = health.ejectedUntil();
     BOOST_CHECK(health.state(now) == ServerHealth::State::Trial);
-    BOOST_TEST(health.record(TryResult::Cut, 1ms, true, now));
-    BOOST_CHECK(health.heldUntil() - now > qz::HealthLimits().firstHold_);
-    now = health.heldUntil();
-    health.record(TryResult::Answered, 200ms, true, now);
+    BOOST_TEST(health.record(AttemptResult::Cut, 1ms, true, now));
+    BOOST_CHECK(health.ejectedUntil() - now > qz::EjectionLimits().baseEjectionTime_);
+    now = health.ejectedUntil();
+    health.record(AttemptResult::Answered, 200ms, true, now);
     BOOST_CHECK(health.state(now) == ServerHealth::State::Trial);
-    health.record(TryResult::Answered, 200ms, true, now);
+    health.record(AttemptResult::Answered, 200ms, true, now);
     BOOST_CHECK(health.state(now) == ServerHealth::State::Good);
     for (int i = 0; i < 10; ++i) {
-        health.record(TryResult::Cut, 1ms, true, health.heldUntil());
+        health.record(AttemptResult::Cut, 1ms, true, health.ejectedUntil());
     }
-    BOOST_CHECK(health.heldUntil() - health.heldSince() <= qz::HealthLimits().longestHold_);
+    BOOST_CHECK(health.ejectedUntil() - health.ejectedSince()
+                <= qz::EjectionLimits().maxEjectionTime_);
 }
 
 BOOST_AUTO_TEST_CASE(aTrialWithinAHoldEndsItWithTwoAnswersToRequestsOfTheTrial)
 {
     ServerHealth health = makeHeld(start, false);
     const auto now = start + 3s;
-    health.record(TryResult::Answered, 4s, false, now);
-    health.record(TryResult::Answered, 4s, false, now);
-    BOOST_CHECK(health.state(now) == ServerHealth::State::Held);
-    health.record(TryResult::Answered, 200ms, false, now);
-    health.record(TryResult::Answered, 200ms, false, now);
+    health.record(AttemptResult::Answered, 4s, false, now);
+    health.record(AttemptResult::Answered, 4s, false, now);
+    BOOST_CHECK(health.state(now) == ServerHealth::State::Ejected);
+    health.record(AttemptResult::Answered, 200ms, false, now);
+    health.record(AttemptResult::Answered, 200ms, false, now);
     BOOST_CHECK(health.state(now) == ServerHealth::State::Good);
 }
 
@@ -189,20 +190,20 @@
     BOOST_TEST(choose({ makeHeldCandidate(health, now), good }, makeRequest(), now) == 1);
     BOOST_TEST(choose({ makeHeldCandidate(health, now), busy }, makeRequest(), now) == 0);
     auto crowded = makeRequest();
-    crowded.isCrowded_ = true;
+    crowded.isCongested_ = true;
     BOOST_TEST(choose({ makeHeldCandidate(health, now), good }, crowded, now) == 0);
-    const auto later = start + qz::HealthLimits().firstCostlyHold_;
+    const auto later = start + qz::EjectionLimits().nonRepeatableBaseEjectionTime_;
     BOOST_TEST(choose({ makeHeldCandidate(health, later), good }, makeRequest(), later) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(onlyTheOwnerTriesAHeldServerSoon)
 {
     const ServerHealth health = makeHeld(start);
-    const auto now = health.heldUntil() + 10ms;
+    const auto now = health.ejectedUntil() + 10ms;
     auto held = makeHeldCandidate(health, now);
-    held.duty_ = ServerDuty::None;
+    held.serverRole_ = ServerRole::None;
     BOOST_TEST(choose({ held, makeCandidate(Distance::SameDomain, 0) }, makeRequest(), now) == 1);
-    const auto later = health.heldUntil() + qz::PlacementCosts().foreignTrialDelay_;
+    const auto later = health.ejectedUntil() + qz::PlacementSettings().nonOwnerTrialDelay_;
     BOOST_TEST(choose({ held, makeCandidate(Distance::SameDomain, 0) }, makeRequest(), later) == 0);
 }
 
@@ -219,23 +220,23 @@
 BOOST_AUTO_TEST_CASE(whileManyFailIdleServersGetWorkAndHoldsGiveWay)
 {
     auto idle = makeCandidate(Distance::SameDomain, 0);
-    idle.slowness_ = 1.5;
-    idle.duty_ = ServerDuty::Deputy;
-    auto used = makeCandidate(Distance::SameDomain, 0);
+    idle.relativeLatency_ = 1.5;
+    idle.serverRole_ = ServerRole::Backup;
+    auto usedShare = makeCandidate(Distance::SameDomain, 0);
     const auto now = start + 3s;
-    used.lastSent_ = now;
+    usedShare.lastSent_ = now;
     auto request = makeRequest();
-    BOOST_TEST(choose({ idle, used }, request, now) == 1);
-    request.isSpread_ = true;
-    BOOST_TEST(choose({ idle, used }, request, now) == 0);
-    request.isSpread_ = false;
-    idle.duty_ = ServerDuty::Owner;
-    BOOST_TEST(choose({ idle, used }, request, now) == 0);
-    idle.duty_ = ServerDuty::Deputy;
-    request.isSpread_ = true;
+    BOOST_TEST(choose({ idle, usedShare }, request, now) == 1);
+    request.shouldSpread_ = true;
+    BOOST_TEST(choose({ idle, usedShare }, request, now) == 0);
+    request.shouldSpread_ = false;
+    idle.serverRole_ = ServerRole::Owner;
+    BOOST_TEST(choose({ idle, usedShare }, request, now) == 0);
+    idle.serverRole_ = ServerRole::Backup;
+    request.shouldSpread_ = true;
     const ServerHealth held = makeHeld(start, false);
     idle.lastSent_ = now;
-    BOOST_TEST(choose({ makeHeldCandidate(held, now), idle, used }, request, now) == 0);
+    BOOST_TEST(choose({ makeHeldCandidate(held, now), idle, usedShare }, request, now) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(whileManyFailTheLongestHeldServersAreTriedUntilFewAreLeftOut)
@@ -244,7 +245,7 @@
     // than of all of them, so the limit is half of what the floor leaves.
     const ServerHealth first = makeHeld(start, false);
     const ServerHealth second = makeHeld(start + 100ms, false);
-    const auto now = start + 100ms + qz::PlacementCosts().neededHold_;
+    const auto now = start + 100ms + qz::PlacementSettings().ownerEarlyTrialDelay_;
     auto good = makeCandidate(Distance::SameDomain, 0);
     good.lastSent_ = now;
     std::vector<qz::PlacementCandidate> candidates(8, good);
@@ -252,7 +253,7 @@
     candidates.push_back(makeHeldCandidate(first, now));
     auto request = makeRequest();
     BOOST_TEST(choose(candidates, request, now) < 8);
-    request.isSpread_ = true;
+    request.shouldSpread_ = true;
     BOOST_TEST(choose(candidates, request, now) == 9);
     candidates.pop_back();
     BOOST_TEST(choose(candidates, request, now) < 8);
@@ -263,37 +264,38 @@
     const ServerHealth health = makeHeld(start, false);
     auto good = makeCandidate(Distance::SameDomain, 0);
     auto request = makeRequest();
-    request.isSpread_ = true;
-    const auto chooseAt = [&](qz::TimePoint now, ServerDuty duty) {
+    request.shouldSpread_ = true;
+    const auto chooseAt = [&](qz::TimePoint now, ServerRole duty) {
         auto held = makeHeldCandidate(health, now);
-        held.duty_ = duty;
+        held.serverRole_ = duty;
         held.distance_ = Distance::OtherRegion;
         good.lastSent_ = now;
         return choose({ good, held }, request, now);
     };
-    const auto deputyTime = start + qz::PlacementCosts().neededDeputyHold_;
-    BOOST_TEST(chooseAt(start + qz::PlacementCosts().neededHold_, ServerDuty::Deputy) == 0);
-    BOOST_TEST(chooseAt(deputyTime, ServerDuty::Deputy) == 1);
-    BOOST_TEST(chooseAt(deputyTime, ServerDuty::None) == 0);
+    const auto deputyTime = start + qz::PlacementSettings().backupEarlyTrialDelay_;
+    BOOST_TEST(chooseAt(start + qz::PlacementSettings().ownerEarlyTrialDelay_, ServerRole::Backup)
+               == 0);
+    BOOST_TEST(chooseAt(deputyTime, ServerRole::Backup) == 1);
+    BOOST_TEST(chooseAt(deputyTime, ServerRole::None) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(aNoteOfAFailureWithinAHoldStartsItAnew)
 {
     ServerHealth health = makeHeld(start, false);
     const auto now = start + 2s;
-    health.adoptHold(6s, now);
-    BOOST_CHECK(health.heldSince() == now);
-    BOOST_CHECK(health.heldUntil() == now + 6s);
+    health.applyReportedEjection(6s, now);
+    BOOST_CHECK(health.ejectedSince() == now);
+    BOOST_CHECK(health.ejectedUntil() == now + 6s);
 }
 
 BOOST_AUTO_TEST_CASE(failuresOfTheWaySayNothingToOthers)
 {
-    BOOST_TEST(qz::isOfServer(TryResult::Cut));
-    BOOST_TEST(qz::isOfServer(TryResult::ServerError));
-    BOOST_TEST(!qz::isOfServer(TryResult::ConnectFailed));
-    BOOST_TEST(!qz::isOfServer(TryResult::Silent));
-    BOOST_TEST(!qz::isOfServer(TryResult::TimedOut));
-    BOOST_TEST(!qz::isOfServer(TryResult::Shed));
+    BOOST_TEST(qz::isServerFault(AttemptResult::Cut));
+    BOOST_TEST(qz::isServerFault(AttemptResult::ServerError));
+    BOOST_TEST(!qz::isServerFault(AttemptResult::ConnectFailed));
+    BOOST_TEST(!qz::isServerFault(AttemptResult::Silent));
+    BOOST_TEST(!qz::isServerFault(AttemptResult::TimedOut));
+    BOOST_TEST(!qz::isServerFault(AttemptResult::Shed));
 }
 
 BOOST_AUTO_TEST_CASE(theRetryBudgetOfAllInstancesHoldsInEachWindow)
@@ -314,7 +316,7 @@
                 allowance.countRequest(now);
                 requests.push_back(now);
             }
-            if (allowance.take(now)) {
+            if (allowance.tryAcquire(now)) {
                 retries.push_back(now);
             }
         }
@@ -337,36 +339,36 @@
     qz::RetryBudgetLimits limits;
     limits.slack_ = 56.0;
     qz::RetryAllowance allowance(limits, 0.0);
-    BOOST_TEST(!allowance.take(start));
-    BOOST_TEST(allowance.used(start) == 1.0);
+    BOOST_TEST(!allowance.tryAcquire(start));
+    BOOST_TEST(allowance.usedShare(start) == 1.0);
 }
 
 BOOST_AUTO_TEST_CASE(theUnservedShareForgetsAndNeedsEnoughRequests)
 {
-    qz::ServedShare share;
+    qz::FailureRateTracker share;
     for (int i = 0; i < 11; ++i) {
         share.record(false, start);
     }
-    BOOST_TEST(share.unserved(start) == 0.0);
+    BOOST_TEST(share.failureRate(start) == 0.0);
     for (int i = 0; i < 9; ++i) {
         share.record(true, start);
     }
-    BOOST_TEST(share.unserved(start) == 11.0 / 20.0);
-    BOOST_TEST(share.unserved(start + 4s) == 0.0);
+    BOOST_TEST(share.failureRate(start) == 11.0 / 20.0);
+    BOOST_TEST(share.failureRate(start + 4s) == 0.0);
 }
 
 BOOST_AUTO_TEST_CASE(aSuddenRiseOfFailuresShowsWithinASecond)
 {
-    qz::ServedShare share;
+    qz::FailureRateTracker share;
     auto now = start;
     for (int i = 0; i < 90; ++i, now += 33ms) {
         share.record(true, now);
     }
-    BOOST_TEST(share.unserved(now) == 0.0);
+    BOOST_TEST(share.failureRate(now) == 0.0);
     for (int i = 0; i < 24; ++i, now += 33ms) {
         share.record(i % 5 != 0, now);
     }
-    BOOST_TEST(share.unserved(now) > qz::spreadLevel);
+    BOOST_TEST(share.failureRate(now) > qz::spreadFailureRate);
 }
 
 BOOST_AUTO_TEST_CASE(latencyEstimatesFollowTheAnswers)
@@ -376,17 +378,17 @@
     for (int i = 0; i < 400; ++i) {
         latency.record(std::chrono::milliseconds(100 + 10 * (i % 20)), start);
     }
-    BOOST_TEST(!latency.isCrowded());
+    BOOST_TEST(!latency.isCongested());
     BOOST_CHECK(latency.mean(1s) > 150ms && latency.mean(1s) < 240ms);
-    BOOST_CHECK(latency.high(1s) > 220ms && latency.high(1s) < 400ms);
+    BOOST_CHECK(latency.percentile90(1s) > 220ms && latency.percentile90(1s) < 400ms);
     for (int i = 0; i < 40; ++i) {
         latency.record(500ms, start + 30s);
     }
-    BOOST_TEST(latency.isCrowded());
+    BOOST_TEST(latency.isCongested());
     // What lasts is not a flood.
     for (int i = 0; i < 40; ++i) {
         latency.record(500ms, start + 3min);
     }
     latency.record(500ms, start + 6min);
-    BOOST_TEST(!latency.isCrowded());
+    BOOST_TEST(!latency.isCongested());
 }
--- a/packages/qz_placement/tests/servermodel.h
+++ b/packages/qz_placement/tests/serversimulation.h
@@ -13,7 +13,7 @@
 
 namespace qz::testing {
 
-struct ReplayLoad
+struct SimulatedLoad
 {
     int servers_ = 8;
     int slots_ = 2;
@@ -36,7 +36,7 @@
     double burst_ = 1.0;
 };
 
-struct ReplayResult
+struct SimulationResult
 {
     int asked_ = 0;
     int served_ = 0;
@@ -48,7 +48,7 @@
     int windowsBelowFloor_ = 0; ///< Too few sound servers in use, many requests unserved.
     Duration longestRefusal_{ 0 };
 
-    ReplayResult &operator+=(const ReplayResult &other)
+    SimulationResult &operator+=(const SimulationResult &other)
     {
         asked_ += other.asked_;
         served_ += other.served_;
@@ -64,10 +64,10 @@
 };
 
 /// Runs requests against modelled servers in order of time.
-class ServerModel
+class ServerSimulation
 {
 public:
-    ServerModel(const ReplayLoad &load, unsigned seed)
+    ServerSimulation(const SimulatedLoad &load, unsigned seed)
         : load_(load)
         , random_(seed)
         , servers_(static_cast<std::size_t>(load.servers_))
@@ -80,7 +80,7 @@
         }
     }
 
-    ReplayResult run()
+    SimulationResult run()
     {
         scheduleArrivals();
         TimePoint windowEnd = start + window;
@@ -114,7 +114,7 @@
     };
     struct Instance
     {
-        explicit Instance(const ReplayLoad &load)
+        explicit Instance(const SimulatedLoad &load)
             : allowance_({ 0.2, 56.0, std::chrono::seconds(10) }, 1.0 / load.instances_)
             , views_(static_cast<std::size_t>(load.servers_))
         {
@@ -122,7 +122,7 @@
 
         RetryAllowance allowance_;
         ServiceLatency latency_;
-        ServedShare share_;
+        FailureRateTracker share_;
         std::vector<View> views_;
     };
     struct Server
@@ -182,9 +182,9 @@
         made.isRepeatable_ = load_.isRepeatable_;
         made.target_ = load_.target_;
         made.timeLeft_ = request.arrivedAt_ + load_.timeout_ - now_;
-        made.expected_ = instance.latency_.mean(load_.target_);
-        made.isCrowded_ = instance.latency_.isCrowded();
-        made.isSpread_ = instance.share_.unserved(now_) > spreadLevel;
+        made.expectedLatency_ = instance.latency_.mean(load_.target_);
+        made.isCongested_ = instance.latency_.isCongested();
+        made.shouldSpread_ = instance.share_.failureRate(now_) > spreadFailureRate;
         return made;
     }
 
@@ -194,18 +194,20 @@
         const View &view = instance.views_[server];
         const bool isOwner = server % instances_.size() == request.instance_;
         PlacementCandidate candidate;
-        candidate.duty_ = isOwner ? ServerDuty::Owner : ServerDuty::None;
+        candidate.serverRole_ = isOwner ? ServerRole::Owner : ServerRole::None;
         candidate.distance_ = isOwner ? Distance::SameDomain : Distance::SameRegion;
         candidate.state_ = view.health_.state(now_);
-        candidate.heldUntil_ = view.health_.heldUntil();
-        candidate.heldSince_ = view.health_.heldSince();
+        candidate.ejectedUntil_ = view.health_.ejectedUntil();
+        candidate.ejectedSince_ = view.health_.ejectedSince();
         candidate.lastSent_ = view.lastSent_;
         candidate.slots_ = load_.slots_;
         candidate.inFlight_ = static_cast<int>(view.inFlight_.size());
-        candidate.slowness_ = view.health_.slowness(instance.latency_.mean(load_.target_));
-        candidate.oldestWait_ =
+        candidate.relativeLatency_ =
+                view.health_.relativeLatency(instance.latency_.mean(load_.target_));
+        candidate.oldestRequestAge_ =
                 view.inFlight_.empty() ? Duration::zero() : now_ - view.inFlight_.begin()->first;
-        candidate.isTried_ = std::count(request.tried_.begin(), request.tried_.end(), server) > 0;
+        candidate.wasAttempted_ =
+                std::count(request.tried_.begin(), request.tried_.end(), server) > 0;
         return candidate;
     }
 
@@ -242,8 +244,9 @@
         const TimePoint sentAt = now_;
         view.inFlight_.emplace(sentAt, 0);
         if (isInSpell(server) && std::bernoulli_distribution(load_.spellFails_)(random_)) {
-            at(now_ + std::chrono::milliseconds(2),
-               [this, request, index, sentAt] { fail(request, index, sentAt, TryResult::Cut); });
+            at(now_ + std::chrono::milliseconds(2), [this, request, index, sentAt] {
+                fail(request, index, sentAt, AttemptResult::Cut);
+            });
             return;
         }
         std::lognormal_distribution<double> work(-0.125, 0.5);
@@ -255,14 +258,15 @@
         const TimePoint limit = request->arrivedAt_ + load_.timeout_;
         if (*slot > limit) {
             at(limit, [this, request, index, sentAt] {
-                fail(request, index, sentAt, TryResult::TimedOut);
+                fail(request, index, sentAt, AttemptResult::TimedOut);
             });
             return;
         }
         at(*slot, [this, request, index, sentAt] { succeed(request, index, sentAt); });
     }
 
-    void finishTry(const Request &request, std::size_t index, TimePoint sentAt, TryResult result)
+    void finishTry(const Request &request, std::size_t index, TimePoint sentAt,
+                   AttemptResult result)
     {
         View &view = instances_[request.instance_].views_[index];
         view.inFlight_.erase(view.inFlight_.find(sentAt));
@@ -273,21 +277,21 @@
             if (&health == &view.health_) {
                 continue;
             }
-            if (isHeld && isOfServer(result)) {
-                health.adoptHold(view.health_.heldUntil() - now_, now_);
+            if (isHeld && isServerFault(result)) {
+                health.applyReportedEjection(view.health_.ejectedUntil() - now_, now_);
             } else if (isRecovered && health.state(now_) != ServerHealth::State::Good) {
-                health.adoptRecovery(now_);
+                health.applyReportedRecovery(now_);
             }
         }
     }
 
-    void fail(const RequestPtr &request, std::size_t index, TimePoint sentAt, TryResult result)
+    void fail(const RequestPtr &request, std::size_t index, TimePoint sentAt, AttemptResult result)
     {
         finishTry(*request, index, sentAt, result);
         servers_[index].lastFailed_ = now_;
-        const bool mayRetry = load_.isRepeatable_ && result == TryResult::Cut
+        const bool mayRetry = load_.isRepeatable_ && result == AttemptResult::Cut
                 && static_cast<int>(request->tried_.size()) < load_.maxAttempts_
-                && instances_[request->instance_].allowance_.take(now_);
+                && instances_[request->instance_].allowance_.tryAcquire(now_);
         if (mayRetry) {
             place(request);
         } else {
@@ -297,7 +301,7 @@
 
     void succeed(const RequestPtr &request, std::size_t index, TimePoint sentAt)
     {
-        finishTry(*request, index, sentAt, TryResult::Answered);
+        finishTry(*request, index, sentAt, AttemptResult::Answered);
         instances_[request->instance_].latency_.record(now_ - sentAt, now_);
         result_.late_ += now_ - request->arrivedAt_ > load_.target_ ? 1 : 0;
         end(*request, result_.served_, true);
@@ -329,20 +333,20 @@
         windowUnserved_ = 0;
     }
 
-    const ReplayLoad load_;
+    const SimulatedLoad load_;
     std::mt19937 random_;
     std::vector<Server> servers_;
     std::vector<Instance> instances_;
     std::multimap<TimePoint, std::function<void()>> events_;
     TimePoint now_ = start;
-    ReplayResult result_;
+    SimulationResult result_;
     int windowEnds_ = 0;
     int windowUnserved_ = 0;
 };
 
-inline ReplayResult replay(const ReplayLoad &load, unsigned seed)
+inline SimulationResult simulate(const SimulatedLoad &load, unsigned seed)
 {
-    return ServerModel(load, seed).run();
+    return ServerSimulation(load, seed).run();
 }
 
 } // namespace qz::testing
--- a/packages/qz_placement/tests/replaytest.cpp
+++ b/packages/qz_placement/tests/simulationtest.cpp
@@ -1,21 +1,21 @@
 // Replays of load on a small model of servers: spells of failure, slowness, floods. Time is
 // simulated; what is asserted is served, lost, late and sent, against stated bounds.
-#include "qz_placement/tests/servermodel.h"
+#include "qz_placement/tests/serversimulation.h"
 
 #include <boost/test/unit_test.hpp>
 
 using namespace std::chrono_literals;
-using qz::testing::ReplayLoad;
-using qz::testing::ReplayResult;
+using qz::testing::SimulatedLoad;
+using qz::testing::SimulationResult;
 
 namespace {
 
 constexpr int seeds = 8;
 
 /// Eight servers of two slots at a third of their capacity, as in the deployments of today.
-ReplayLoad makeUsualLoad()
+SimulatedLoad makeUsualLoad()
 {
-    ReplayLoad load;
+    SimulatedLoad load;
     load.servers_ = 8;
     load.slots_ = 2;
     load.perSecond_ = 33.0;
@@ -26,20 +26,20 @@
 }
 
 /// At any time three in ten servers fail most requests at once, for some seconds.
-ReplayLoad makeSpells()
+SimulatedLoad makeSpells()
 {
-    ReplayLoad load = makeUsualLoad();
+    SimulatedLoad load = makeUsualLoad();
     load.spellShare_ = 0.3;
     load.spellLength_ = 9s;
     load.spellFails_ = 0.85;
     return load;
 }
 
-ReplayResult replay(const ReplayLoad &load)
+SimulationResult simulate(const SimulatedLoad &load)
 {
-    ReplayResult sum;
+    SimulationResult sum;
     for (int seed = 1; seed <= seeds; ++seed) {
-        sum += qz::testing::replay(load, static_cast<unsigned>(seed));
+        sum += qz::testing::simulate(load, static_cast<unsigned>(seed));
     }
     return sum;
 }
@@ -48,7 +48,7 @@
 
 BOOST_AUTO_TEST_CASE(soundServersServeEverythingInTime)
 {
-    const ReplayResult result = replay(makeUsualLoad());
+    const SimulationResult result = simulate(makeUsualLoad());
     BOOST_TEST(result.lost_ == 0);
     BOOST_TEST(result.refused_ == 0);
     BOOST_TEST(result.served_ > 0);
@@ -57,9 +57,9 @@
 
 BOOST_AUTO_TEST_CASE(spellsOfFailureCostAFewRequestsThatMayNotBeRepeated)
 {
-    ReplayLoad load = makeSpells();
+    SimulatedLoad load = makeSpells();
     load.isRepeatable_ = false;
-    const ReplayResult result = replay(load);
+    const SimulationResult result = simulate(load);
     // Without evidence 0.3 x 0.85 of the requests are lost.
     BOOST_TEST(result.lost_ < result.asked_ * 0.08);
     BOOST_TEST(result.refused_ == 0);
@@ -68,28 +68,28 @@
 
 BOOST_AUTO_TEST_CASE(spellsOfFailureCostRepeatableRequestsNearlyNothing)
 {
-    ReplayLoad load = makeSpells();
+    SimulatedLoad load = makeSpells();
     load.isRepeatable_ = true;
-    const ReplayResult result = replay(load);
+    const SimulationResult result = simulate(load);
     BOOST_TEST(result.lost_ < result.asked_ * 0.01);
     BOOST_TEST(result.sent_ - result.asked_ < result.asked_ * 0.2);
 }
 
 BOOST_AUTO_TEST_CASE(soundServersStayInUseWhileOthersFail)
 {
-    ReplayLoad load = makeSpells();
+    SimulatedLoad load = makeSpells();
     load.isRepeatable_ = false;
-    const ReplayResult result = replay(load);
+    const SimulationResult result = simulate(load);
     // The floor of the deployments: seven in ten, in each two seconds with many failures.
     BOOST_TEST(result.windowsBelowFloor_ <= result.windows_ / 50);
 }
 
 BOOST_AUTO_TEST_CASE(slowServersGetLessWork)
 {
-    ReplayLoad load = makeUsualLoad();
+    SimulatedLoad load = makeUsualLoad();
     load.slowServers_ = 2;
     load.slowFactor_ = 8.0;
-    const ReplayResult result = replay(load);
+    const SimulationResult result = simulate(load);
     // The first request to a slow server can outlast its time before it is known as slow.
     BOOST_TEST(result.lost_ <= load.slowServers_ * seeds);
     BOOST_TEST(result.late_ < result.asked_ * 0.06);
@@ -97,9 +97,9 @@
 
 BOOST_AUTO_TEST_CASE(aFloodIsRefusedAtOnceAndTheRestServed)
 {
-    ReplayLoad load = makeUsualLoad();
+    SimulatedLoad load = makeUsualLoad();
     load.perSecond_ = 200.0; // Twice the capacity.
-    const ReplayResult result = replay(load);
+    const SimulationResult result = simulate(load);
     const double capacity = 8 * 2 / 0.16 * 30 * seeds;
     BOOST_TEST(result.served_ > capacity * 0.85);
     // What is sent is served: nothing runs out of its time at a server.
@@ -111,7 +111,7 @@
 {
     // Twelve instances before 72 servers of four slots. In the burst 0.55 of the slots work; a
     // pool that knew all its queues would let nearly nothing wait.
-    ReplayLoad load;
+    SimulatedLoad load;
     load.servers_ = 72;
     load.slots_ = 4;
     load.instances_ = 12;
@@ -124,7 +124,7 @@
     load.spellShare_ = 0.3;
     load.spellLength_ = 6s;
     load.spellFails_ = 0.75;
-    const ReplayResult result = replay(load);
+    const SimulationResult result = simulate(load);
     BOOST_TEST_MESSAGE("late " << result.late_ << " lost " << result.lost_ << " refused "
                                << result.refused_ << " of " << result.asked_);
     BOOST_TEST(result.late_ < result.asked_ * 0.08);
--- a/packages/qz_presence/directory/instancedirectory.cpp
+++ b/packages/qz_presence/directory/instancedirectory.cpp
@@ -33,7 +33,7 @@
 {
 }
 
-bool InstanceDirectory::put(const InstanceRecord &record, TimePoint now)
+bool InstanceDirectory::addOrUpdate(const InstanceRecord &record, TimePoint now)
 {
     if (record.id_ == self_.id_) {
         return false;
@@ -48,12 +48,13 @@
     return true;
 }
 
-bool InstanceDirectory::addUnknown(const InstanceRecord &record, TimePoint now)
+bool InstanceDirectory::addIfUnknown(const InstanceRecord &record, TimePoint now)
 {
-    return others_.count(record.id_.value()) == 0 && put(record, now);
+    return others_.count(record.id_.value()) == 0 && addOrUpdate(record, now);
 }
 
-void InstanceDirectory::hear(const InstanceId &id, const InstanceState &state, TimePoint now)
+void InstanceDirectory::recordPresence(const InstanceId &id, const InstanceState &state,
+                                       TimePoint now)
 {
     const auto found = others_.find(id.value());
     if (found != others_.end()) {
@@ -63,7 +64,7 @@
     }
 }
 
-void InstanceDirectory::lose(const InstanceId &id)
+void InstanceDirectory::markLost(const InstanceId &id)
 {
     const auto found = others_.find(id.value());
     if (found != others_.end()) {
@@ -112,7 +113,7 @@
                    limits_.entriesPerDomain_);
 }
 
-std::optional<std::size_t> InstanceDirectory::readerRank(TimePoint now) const
+std::optional<std::size_t> InstanceDirectory::readerIndex(TimePoint now) const
 {
     std::vector<std::string> live{ self_.id_.value() };
     for (const auto &[id, known] : others_) {
@@ -142,7 +143,7 @@
                        [this](const auto &record) { return record.id_ == self_.id_; });
 }
 
-std::vector<InstanceRecord> InstanceDirectory::neighbours() const
+std::vector<InstanceRecord> InstanceDirectory::domainPeers() const
 {
     std::vector<std::string> ids;
     for (const auto &[id, known] : others_) {
@@ -164,7 +165,7 @@
     return firstOfOtherDomains(readersSuffix, limits_.readersPerDomain_);
 }
 
-bool InstanceDirectory::isNeighbour(const InstanceId &id) const
+bool InstanceDirectory::isInSameDomain(const InstanceId &id) const
 {
     const auto found = others_.find(id.value());
     return found != others_.end()
--- a/packages/qz_presence/directory/instancedirectory.h
+++ b/packages/qz_presence/directory/instancedirectory.h
@@ -58,19 +58,19 @@
 
     /// Adds an instance or changes its addresses. True if it was not known like this. A new
     /// one is taken as live, but not as ready, until it could have been heard.
-    bool put(const InstanceRecord &record, TimePoint now);
+    bool addOrUpdate(const InstanceRecord &record, TimePoint now);
 
     /// Adds an instance that another one knows; what is known of it already holds.
-    bool addUnknown(const InstanceRecord &record, TimePoint now);
+    bool addIfUnknown(const InstanceRecord &record, TimePoint now);
 
     /// A digest of the ids of all known instances and of this one: the same at instances that
     /// know the same.
     std::uint64_t digest() const { return digest_; }
 
     /// An instance said that it is live.
-    void hear(const InstanceId &id, const InstanceState &state, TimePoint now);
+    void recordPresence(const InstanceId &id, const InstanceState &state, TimePoint now);
     /// The link to an instance was lost or it said that it stops.
-    void lose(const InstanceId &id);
+    void markLost(const InstanceId &id);
 
     void setSelfState(const InstanceState &state) { selfState_ = state; }
     const InstanceRecord &self() const { return self_; }
@@ -83,10 +83,10 @@
 
     /// If this instance is one of those that read from the store: how many that can do so
     /// come before it.
-    std::optional<std::size_t> readerRank(TimePoint now) const;
+    std::optional<std::size_t> readerIndex(TimePoint now) const;
 
     /// The other instances of this failure domain, in the order in which they take callers.
-    std::vector<InstanceRecord> neighbours() const;
+    std::vector<InstanceRecord> domainPeers() const;
 
     /// Of each other failure domain, the entries if all its instances are live.
     std::vector<InstanceRecord> remoteEntries() const;
@@ -95,7 +95,7 @@
     std::vector<InstanceRecord> remoteReaders() const;
 
     /// Whether @p id is known to stand in this instance's failure domain.
-    bool isNeighbour(const InstanceId &id) const;
+    bool isInSameDomain(const InstanceId &id) const;
 
     std::vector<InstanceRecord> all() const;
     std::size_t domainCount() const;
--- a/packages/qz_presence/exchange/presencedriver.cpp
+++ b/packages/qz_presence/exchange/presencedriver.cpp
@@ -29,7 +29,7 @@
 PresenceDriver::~PresenceDriver()
 {
     links_.setHandler(MessageKind::Presence, nullptr);
-    links_.setHandler(MessageKind::HealthNote, nullptr);
+    links_.setHandler(MessageKind::HealthReport, nullptr);
     links_.setHandler(MessageKind::InstanceList, nullptr);
 }
 
@@ -39,7 +39,7 @@
                       [this](const InstanceId &from, std::string_view payload) {
                           receivePresence(from, payload);
                       });
-    links_.setHandler(MessageKind::HealthNote,
+    links_.setHandler(MessageKind::HealthReport,
                       [this](const InstanceId &from, std::string_view payload) {
                           receiveNote(from, payload);
                       });
@@ -47,7 +47,7 @@
                       [this](const InstanceId &from, std::string_view payload) {
                           receiveList(from, payload);
                       });
-    links_.setLinkLostHandler([this](const InstanceId &peer) { directory_.lose(peer); });
+    links_.setLinkLostHandler([this](const InstanceId &peer) { directory_.markLost(peer); });
     timer_ = loop_.callEvery(announcePeriod, [this] { announce(); });
 }
 
@@ -55,7 +55,7 @@
 {
     bool isChanged = false;
     for (const InstanceRecord &record : records) {
-        isChanged = directory_.put(record, loop_.now()) || isChanged;
+        isChanged = directory_.addOrUpdate(record, loop_.now()) || isChanged;
     }
     if (isChanged) {
         takeChange();
@@ -83,13 +83,13 @@
             packMessage(PresenceMessage{ directory_.self(), state_.isReady_, state_.isStoreLost_,
                                          versions_ ? versions_() : TableVersions(),
                                          directory_.all().size() + 1, directory_.digest() });
-    for (const InstanceRecord &neighbour : directory_.neighbours()) {
+    for (const InstanceRecord &neighbour : directory_.domainPeers()) {
         // A neighbour that is down is dialled again by the links; nothing else is lost.
         (void)links_.send(neighbour.id_, MessageKind::Presence, message);
     }
 }
 
-void PresenceDriver::sendNote(const HealthNoteMessage &note)
+void PresenceDriver::sendHealthReport(const HealthReportMessage &note)
 {
     const std::string message = packMessage(note);
     auto receivers = directory_.entries(loop_.now());
@@ -99,7 +99,7 @@
     for (const InstanceRecord &receiver : receivers) {
         if (receiver.id_ != directory_.self().id_) {
             // A receiver that misses a note finds out by its own requests.
-            (void)links_.send(receiver.id_, MessageKind::HealthNote, message);
+            (void)links_.send(receiver.id_, MessageKind::HealthReport, message);
         }
     }
 }
@@ -113,7 +113,7 @@
     }
     const PresenceMessage &presence = message.value();
     addInstances({ presence.sender_ });
-    directory_.hear(from, { presence.isReady_, presence.isStoreLost_ }, loop_.now());
+    directory_.recordPresence(from, { presence.isReady_, presence.isStoreLost_ }, loop_.now());
     compareKnown(from, presence);
     if (versionsHandler_) {
         versionsHandler_(from, presence.versions_);
@@ -149,7 +149,7 @@
     }
     const std::size_t before = directory_.all().size();
     for (const InstanceRecord &record : message.value().records_) {
-        directory_.addUnknown(record, loop_.now());
+        directory_.addIfUnknown(record, loop_.now());
     }
     const std::size_t found = directory_.all().size() - before;
     if (found > 0) {
@@ -157,14 +157,14 @@
             { { "from", from.value() }, { "new", found }, { "known", before + found + 1 } });
         takeChange();
     }
-    if (!message.value().isAnswer_) {
+    if (!message.value().isReply_) {
         sendList(from, true);
     }
 }
 
 void PresenceDriver::receiveNote(const InstanceId &from, std::string_view payload)
 {
-    const auto message = unpackMessage<HealthNoteMessage>(payload);
+    const auto message = unpackMessage<HealthReportMessage>(payload);
     if (message.has_error()) {
         log(LogLevel::Warning, "health-note-malformed", { { "from", from.value() } });
         return;
--- a/packages/qz_presence/exchange/presencedriver.h
+++ b/packages/qz_presence/exchange/presencedriver.h
@@ -20,7 +20,7 @@
 class PresenceDriver
 {
 public:
-    using NoteHandler = std::function<void(const HealthNoteMessage &)>;
+    using HealthReportHandler = std::function<void(const HealthReportMessage &)>;
     using VersionsHandler = std::function<void(const InstanceId &, const TableVersions &)>;
 
     PresenceDriver(EventLoop &loop, PeerLinks &links, InstanceDirectory &directory);
@@ -37,12 +37,15 @@
     void setState(const InstanceState &state);
 
     /// The versions that are told with each presence.
-    void setVersions(std::function<TableVersions()> versions) { versions_ = std::move(versions); }
+    void setVersionsProvider(std::function<TableVersions()> versions)
+    {
+        versions_ = std::move(versions);
+    }
     /// Takes the versions that another instance has.
     void setVersionsHandler(VersionsHandler handler) { versionsHandler_ = std::move(handler); }
 
-    void setNoteHandler(NoteHandler handler) { noteHandler_ = std::move(handler); }
-    void sendNote(const HealthNoteMessage &note);
+    void setHealthReportHandler(HealthReportHandler handler) { noteHandler_ = std::move(handler); }
+    void sendHealthReport(const HealthReportMessage &note);
 
 private:
     void announce();
@@ -57,7 +60,7 @@
     EventLoop &loop_;
     PeerLinks &links_;
     InstanceDirectory &directory_;
-    NoteHandler noteHandler_;
+    HealthReportHandler noteHandler_;
     std::function<TableVersions()> versions_;
     VersionsHandler versionsHandler_;
     InstanceState state_;
--- a/packages/qz_presence/exchange/presencemessages.h
+++ b/packages/qz_presence/exchange/presencemessages.h
@@ -32,19 +32,19 @@
 struct InstanceListMessage
 {
     std::vector<InstanceRecord> records_;
-    bool isAnswer_ = false; ///< To the receiver's own list, sent a moment ago.
+    bool isReply_ = false; ///< To the receiver's own list, sent a moment ago.
 
-    MSGPACK_DEFINE(records_, isAnswer_)
+    MSGPACK_DEFINE(records_, isReply_)
 };
 
 /// The sender's requests to a backend server fail, or are answered again.
-struct HealthNoteMessage
+struct HealthReportMessage
 {
     BackendServerId server_;
     std::int64_t incarnation_ = 0; ///< Of the backend server.
-    Duration hold_{};              ///< Zero: it has recovered.
+    Duration ejectionTime_{};      ///< Zero: it has recovered.
 
-    MSGPACK_DEFINE(server_, incarnation_, hold_)
+    MSGPACK_DEFINE(server_, incarnation_, ejectionTime_)
 };
 
 } // namespace qz
--- a/packages/qz_presence/tests/instancedirectorytest.cpp
+++ b/packages/qz_presence/tests/instancedirectorytest.cpp
@@ -37,7 +37,7 @@
         }
         for (int i = 0; i < count; ++i) {
             for (int j = 0; j < count; ++j) {
-                views_[i]->put(makeRecord(j), start);
+                views_[i]->addOrUpdate(makeRecord(j), start);
             }
         }
         hearAll(start, {});
@@ -50,7 +50,8 @@
             for (std::size_t j = 0; j < views_.size(); ++j) {
                 const bool isSilent = std::count(silent.begin(), silent.end(), int(j)) > 0;
                 if (i != j && !isSilent) {
-                    views_[i]->hear(makeRecord(int(j)).id_, { true, lost_.count(int(j)) > 0 }, now);
+                    views_[i]->recordPresence(makeRecord(int(j)).id_,
+                                              { true, lost_.count(int(j)) > 0 }, now);
                 }
             }
         }
@@ -60,7 +61,7 @@
     {
         std::vector<int> found;
         for (std::size_t i = 0; i < views_.size(); ++i) {
-            if (views_[i]->readerRank(now)) {
+            if (views_[i]->readerIndex(now)) {
                 found.push_back(int(i));
             }
         }
@@ -113,7 +114,7 @@
     fleet.views_[0]->setSelfState({ false, false });
     const auto names = idsOf(fleet.views_[0]->entries(start));
     BOOST_TEST(std::count(names.begin(), names.end(), "d-0") == 0);
-    fleet.views_[1]->hear(qz::InstanceId("d-0"), { false, false }, start);
+    fleet.views_[1]->recordPresence(qz::InstanceId("d-0"), { false, false }, start);
     const auto others = idsOf(fleet.views_[1]->entries(start));
     BOOST_TEST(std::count(others.begin(), others.end(), "d-0") == 0);
 }
@@ -124,7 +125,7 @@
     const auto alone = fleet.views_[2]->entries(start + 10s);
     BOOST_REQUIRE(alone.size() == 1);
     BOOST_TEST(alone[0].id_.value() == "d-2");
-    BOOST_TEST(fleet.views_[2]->readerRank(start + 10s).value() == 0);
+    BOOST_TEST(fleet.views_[2]->readerIndex(start + 10s).value() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(twoInstancesReadFromTheStore)
@@ -132,8 +133,8 @@
     const Fleet fleet(12);
     const auto readers = fleet.readers(start);
     BOOST_REQUIRE(readers.size() == 2);
-    BOOST_TEST(fleet.views_[readers[0]]->readerRank(start).value()
-                       + fleet.views_[readers[1]]->readerRank(start).value()
+    BOOST_TEST(fleet.views_[readers[0]]->readerIndex(start).value()
+                       + fleet.views_[readers[1]]->readerIndex(start).value()
                == 1);
 }
 
@@ -158,14 +159,14 @@
 {
     qz::InstanceDirectory directory(makeRecord(0), {});
     for (int i = 0; i < 6; ++i) {
-        directory.put(makeRecord(i, "e"), start);
-        directory.put(makeRecord(i, "f"), start);
+        directory.addOrUpdate(makeRecord(i, "e"), start);
+        directory.addOrUpdate(makeRecord(i, "f"), start);
     }
     BOOST_TEST(directory.remoteEntries().size() == 4);
     BOOST_TEST(directory.remoteReaders().size() == 4);
     BOOST_TEST(directory.domainCount() == 3);
-    BOOST_TEST(directory.neighbours().empty());
-    BOOST_TEST(!directory.isNeighbour(qz::InstanceId("e-1")));
+    BOOST_TEST(directory.domainPeers().empty());
+    BOOST_TEST(!directory.isInSameDomain(qz::InstanceId("e-1")));
 }
 
 BOOST_AUTO_TEST_CASE(instancesWithALargerPartOfAProcessorTakeCallersFirst)
@@ -174,25 +175,25 @@
     for (int i = 1; i < 12; ++i) {
         auto record = makeRecord(i);
         record.processorShare_ = i == 7 || i == 9 ? 2.0 : 0.5;
-        directory.put(record, start);
-        directory.hear(record.id_, { true, false }, start);
+        directory.addOrUpdate(record, start);
+        directory.recordPresence(record.id_, { true, false }, start);
     }
     auto names = idsOf(directory.entries(start));
     std::sort(names.begin(), names.end());
     const std::vector<std::string> larger{ "d-7", "d-9" };
     BOOST_TEST(names == larger, boost::test_tools::per_element());
-    directory.lose(qz::InstanceId("d-7"));
+    directory.markLost(qz::InstanceId("d-7"));
     BOOST_TEST(directory.entries(start).size() == 2);
 }
 
 BOOST_AUTO_TEST_CASE(aNewRecordCountsAsLiveButTakesNoCallersYet)
 {
     qz::InstanceDirectory directory(makeRecord(0), {});
-    BOOST_TEST(directory.put(makeRecord(1), start));
-    BOOST_TEST(!directory.put(makeRecord(1), start));
+    BOOST_TEST(directory.addOrUpdate(makeRecord(1), start));
+    BOOST_TEST(!directory.addOrUpdate(makeRecord(1), start));
     BOOST_TEST(directory.entries(start).empty());
-    directory.hear(makeRecord(1).id_, { true, false }, start);
+    directory.recordPresence(makeRecord(1).id_, { true, false }, start);
     BOOST_TEST(directory.entries(start).size() == 1);
-    directory.lose(makeRecord(1).id_);
+    directory.markLost(makeRecord(1).id_);
     BOOST_TEST(directory.entries(start).empty());
 }
--- a/packages/qz_proxy/entry/digestbook.cpp
+++ b/packages/qz_proxy/entry/digestbook.cpp
@@ -3,7 +3,7 @@
 
 namespace qz {
 
-void DigestBook::record(const BackendServerId &server, const GateDigest &digest, TimePoint now)
+void DigestBook::record(const BackendServerId &server, const GateLoadReport &digest, TimePoint now)
 {
     Entry &entry = entries_[server];
     entry.digest_ = digest;
@@ -31,10 +31,10 @@
     candidate.digest_ = queue;
 }
 
-Duration DigestBook::expectedService(const BackendServerId &server) const
+Duration DigestBook::expectedServiceTime(const BackendServerId &server) const
 {
     const auto found = entries_.find(server);
-    return found == entries_.end() ? Duration::zero() : found->second.digest_.expectedService_;
+    return found == entries_.end() ? Duration::zero() : found->second.digest_.expectedServiceTime_;
 }
 
 } // namespace qz
--- a/packages/qz_proxy/entry/digestbook.h
+++ b/packages/qz_proxy/entry/digestbook.h
@@ -12,13 +12,13 @@
 class DigestBook
 {
 public:
-    void record(const BackendServerId &server, const GateDigest &digest, TimePoint now);
+    void record(const BackendServerId &server, const GateLoadReport &digest, TimePoint now);
 
     /// Fills what is known of the server into @p candidate.
     void fill(ServerCandidate &candidate, TimePoint now) const;
 
     /// The expected time in a slot at @p server; zero if unknown.
-    Duration expectedService(const BackendServerId &server) const;
+    Duration expectedServiceTime(const BackendServerId &server) const;
 
 private:
     /// A digest older than this says nothing of the queue any more.
@@ -26,7 +26,7 @@
 
     struct Entry
     {
-        GateDigest digest_;
+        GateLoadReport digest_;
         TimePoint at_;
     };
 
--- a/packages/qz_proxy/entry/entryservice.cpp
+++ b/packages/qz_proxy/entry/entryservice.cpp
@@ -14,7 +14,7 @@
 EntryDirectory::Limits makeLimits(Duration addressKeepTime)
 {
     EntryDirectory::Limits limits;
-    limits.keepFor_ = addressKeepTime;
+    limits.timeToLive_ = addressKeepTime;
     return limits;
 }
 
--- a/packages/qz_proxy/entry/requestrun.cpp
+++ b/packages/qz_proxy/entry/requestrun.cpp
@@ -144,11 +144,11 @@
     }
     const auto candidates = findCandidates();
     ServerRequest request;
-    request.from_ = parts_.view_.self().location_;
+    request.origin_ = parts_.view_.self().location_;
     request.rank_ = kind_->rank_;
     request.target_ = arrivedAt_ + rules_->ranks()[kind_->rank_].target_ - parts_.loop_.now();
     if (!candidates.empty()) {
-        request.expectedService_ = parts_.digests_.expectedService(candidates.front().id_);
+        request.expectedServiceTime_ = parts_.digests_.expectedServiceTime(candidates.front().id_);
     }
     const auto chosen = parts_.chooser_.choose(candidates, request, parts_.random_);
     if (chosen) {
@@ -234,8 +234,8 @@
     RequestTry &last = record_.tries_.back();
     last.took_ = parts_.loop_.now() - sentAt;
     last.result_ = answer.errorKind_.empty() ? "answered" : answer.errorKind_;
-    if (answer.digest_.slots_ > 0 && !answer.digest_.waitByRank_.empty()) {
-        parts_.digests_.record(answer.server_, answer.digest_, parts_.loop_.now());
+    if (answer.loadReport_.slots_ > 0 && !answer.loadReport_.waitByRank_.empty()) {
+        parts_.digests_.record(answer.server_, answer.loadReport_, parts_.loop_.now());
     }
     auto result = toResult(std::move(answer));
     if (result.has_value()) {
@@ -256,7 +256,7 @@
     if (!isAllowed || isCallerGone_ || record_.tries_.size() >= tryLimit) {
         return false;
     }
-    return isFree(error.kind_) || parts_.retries_.take(parts_.loop_.now());
+    return isFree(error.kind_) || parts_.retries_.tryAcquire(parts_.loop_.now());
 }
 
 void RequestRun::cancel()
--- a/packages/qz_replica/exchange/replicaexchange.cpp
+++ b/packages/qz_replica/exchange/replicaexchange.cpp
@@ -80,8 +80,8 @@
 void ReplicaExchange::sendToNeighbours(const TableUpdate &update)
 {
     const std::string message = packMessage(update);
-    auto receivers = directory_.neighbours();
-    if (update.isWhole_ && message.size() * receivers.size() > broadcastLimitBytes) {
+    auto receivers = directory_.domainPeers();
+    if (update.isSnapshot_ && message.size() * receivers.size() > broadcastLimitBytes) {
         receivers.resize(std::min(receivers.size(), firstReceivers));
     }
     for (const InstanceRecord &receiver : receivers) {
@@ -115,7 +115,7 @@
     return versions;
 }
 
-void ReplicaExchange::compare(const InstanceId &from, const TableVersions &versions)
+void ReplicaExchange::requestNewerTables(const InstanceId &from, const TableVersions &versions)
 {
     for (const auto &[name, version] : versions) {
         const auto found = tables_.find(name);
@@ -137,7 +137,7 @@
         log(LogLevel::Warning, "table-update-malformed", { { "from", from.value() } });
         return;
     }
-    if (apply(update.value()) && !directory_.isNeighbour(from)) {
+    if (apply(update.value()) && !directory_.isInSameDomain(from)) {
         sendToNeighbours(update.value());
     }
 }
@@ -171,7 +171,7 @@
                   { "version", version(table) },
                   { "known_version", remote.version_ },
                   { "from", remote.from_.value() } });
-            compare(remote.from_, { { table, remote.version_ } });
+            requestNewerTables(remote.from_, { { table, remote.version_ } });
         }
     }
 }
@@ -189,7 +189,7 @@
     }
     // Asked again with the next presence if it is lost.
     (void)links_.send(from, MessageKind::TableUpdate,
-                      packMessage(found->second.replica_.makeWhole()));
+                      packMessage(found->second.replica_.makeSnapshot()));
 }
 
 } // namespace qz
--- a/packages/qz_replica/exchange/replicaexchange.h
+++ b/packages/qz_replica/exchange/replicaexchange.h
@@ -64,7 +64,7 @@
     TableVersions versions() const;
 
     /// Another instance has these versions.
-    void compare(const InstanceId &from, const TableVersions &versions);
+    void requestNewerTables(const InstanceId &from, const TableVersions &versions);
 
 private:
     struct Table
--- a/packages/qz_replica/table/tablereplica.cpp
+++ b/packages/qz_replica/table/tablereplica.cpp
@@ -12,14 +12,14 @@
 
 bool TableReplica::apply(const TableUpdate &update)
 {
-    const bool isContiguous = update.isWhole_ || update.fromVersion_ <= version_;
+    const bool isContiguous = update.isSnapshot_ || update.fromVersion_ <= version_;
     if (update.version_ <= version_ || !isContiguous) {
         return false;
     }
-    if (!update.isWhole_ && version_ == 0) {
+    if (!update.isSnapshot_ && version_ == 0) {
         return false; // Changes of a table that was never read.
     }
-    if (update.isWhole_) {
+    if (update.isSnapshot_) {
         rows_.clear();
     }
     for (const ReplicaRow &row : update.rows_) {
@@ -33,11 +33,11 @@
     return true;
 }
 
-TableUpdate TableReplica::makeWhole() const
+TableUpdate TableReplica::makeSnapshot() const
 {
     TableUpdate update;
     update.table_ = table_;
-    update.isWhole_ = true;
+    update.isSnapshot_ = true;
     update.version_ = version_;
     for (const auto &[key, value] : rows_) {
         update.rows_.push_back({ key, value, false });
--- a/packages/qz_replica/table/tablereplica.h
+++ b/packages/qz_replica/table/tablereplica.h
@@ -25,14 +25,14 @@
 struct TableUpdate
 {
     std::string table_;
-    bool isWhole_ = false;          ///< All rows; otherwise those that changed.
+    bool isSnapshot_ = false;       ///< All rows; otherwise those that changed.
     std::uint64_t fromVersion_ = 0; ///< Version before; of no meaning if whole.
     std::uint64_t version_ = 0;     ///< Version after.
     /// Rows may be missing for so long yet though what they name is there: the store was away.
     Duration grace_{ 0 };
     std::vector<ReplicaRow> rows_;
 
-    MSGPACK_DEFINE(table_, isWhole_, fromVersion_, version_, grace_, rows_)
+    MSGPACK_DEFINE(table_, isSnapshot_, fromVersion_, version_, grace_, rows_)
 };
 
 /// Invariant: the version never falls, and the rows are those of the version.
@@ -47,7 +47,7 @@
     bool apply(const TableUpdate &update);
 
     /// All rows, as a step that any replica can take.
-    TableUpdate makeWhole() const;
+    TableUpdate makeSnapshot() const;
 
     /// 0: nothing has been read yet.
     std::uint64_t version() const { return version_; }
--- a/packages/qz_replica/tests/replicatest.cpp
+++ b/packages/qz_replica/tests/replicatest.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-qz::TableUpdate makeWhole(std::uint64_t version, std::vector<qz::ReplicaRow> rows,
-                          const std::string &table = "t")
+qz::TableUpdate makeSnapshot(std::uint64_t version, std::vector<qz::ReplicaRow> rows,
+                             const std::string &table = "t")
 {
     qz::TableUpdate update;
     update.table_ = table;
-    update.isWhole_ = true;
+    update.isSnapshot_ = true;
     update.version_ = version;
     update.rows_ = std::move(rows);
     return update;
@@ -26,8 +26,8 @@
 qz::TableUpdate makeChange(std::uint64_t from, std::uint64_t version,
                            std::vector<qz::ReplicaRow> rows)
 {
-    qz::TableUpdate update = makeWhole(version, std::move(rows));
-    update.isWhole_ = false;
+    qz::TableUpdate update = makeSnapshot(version, std::move(rows));
+    update.isSnapshot_ = false;
     update.fromVersion_ = from;
     return update;
 }
@@ -52,9 +52,9 @@
         for (const char *table : { "t", "u" }) {
             replicas_->addTable(table, [this](const qz::TableUpdate &) { ++updates_; });
         }
-        presence_->setVersions([this] { return replicas_->versions(); });
+        presence_->setVersionsProvider([this] { return replicas_->versions(); });
         presence_->setVersionsHandler([this](const qz::InstanceId &from, const auto &versions) {
-            replicas_->compare(from, versions);
+            replicas_->requestNewerTables(from, versions);
         });
         replicas_->start();
     }
@@ -101,7 +101,7 @@
     for (int i = 0; i < count; ++i) {
         rows.push_back({ "k" + std::to_string(i), std::string(250, 'v'), false });
     }
-    all[0]->replicas_->publish(makeWhole(7, rows));
+    all[0]->replicas_->publish(makeSnapshot(7, rows));
     loop.runFor(1500ms);
     for (const Node *node : all) {
         BOOST_TEST(node->replicas_->version("t") == 7);
@@ -125,8 +125,8 @@
         node->presence_->start();
     }
     loop.runFor(1500ms);
-    BOOST_TEST(a.directory_.isNeighbour(c.record_.id_));
-    BOOST_TEST(c.directory_.isNeighbour(a.record_.id_));
+    BOOST_TEST(a.directory_.isInSameDomain(c.record_.id_));
+    BOOST_TEST(c.directory_.isInSameDomain(a.record_.id_));
     BOOST_TEST(a.directory_.all().size() == 3);
     BOOST_TEST(a.directory_.digest() == b.directory_.digest());
     BOOST_TEST(a.directory_.digest() == c.directory_.digest());
@@ -137,12 +137,12 @@
 {
     qz::TableReplica replica("t");
     BOOST_TEST(!replica.apply(makeChange(0, 3, { { "a", "1", false } })));
-    BOOST_TEST(replica.apply(makeWhole(5, { { "a", "1", false }, { "b", "2", false } })));
-    BOOST_TEST(!replica.apply(makeWhole(5, {})));
-    BOOST_TEST(!replica.apply(makeWhole(4, {})));
+    BOOST_TEST(replica.apply(makeSnapshot(5, { { "a", "1", false }, { "b", "2", false } })));
+    BOOST_TEST(!replica.apply(makeSnapshot(5, {})));
+    BOOST_TEST(!replica.apply(makeSnapshot(4, {})));
     BOOST_TEST(!replica.apply(makeChange(6, 8, {})));
     BOOST_TEST(replica.apply(makeChange(4, 7, { { "a", "", true }, { "c", "3", false } })));
-    const auto whole = replica.makeWhole();
+    const auto whole = replica.makeSnapshot();
     BOOST_TEST(whole.version_ == 7);
     BOOST_REQUIRE(whole.rows_.size() == 2);
     BOOST_TEST(whole.rows_[0].key_ == "b");
@@ -156,11 +156,11 @@
     Node b(loop, "b", "d");
     Node c(loop, "c", "d");
     introduce({ &a, &b, &c });
-    a.replicas_->publish(makeWhole(3, { { "k", "v", false } }));
+    a.replicas_->publish(makeSnapshot(3, { { "k", "v", false } }));
     loop.runFor(300ms);
     BOOST_TEST(b.replicas_->version("t") == 3);
     BOOST_TEST(c.replicas_->version("t") == 3);
-    b.replicas_->publish(makeWhole(3, { { "k", "v", false } })); // Read by the second reader.
+    b.replicas_->publish(makeSnapshot(3, { { "k", "v", false } })); // Read by the second reader.
     loop.runFor(100ms);
     BOOST_TEST(a.updates_ == 1);
     BOOST_TEST(b.updates_ == 1);
@@ -172,7 +172,7 @@
     qz::EventLoop loop;
     Node a(loop, "a", "d");
     a.presence_->start();
-    a.replicas_->publish(makeWhole(3, { { "k", "v", false } }));
+    a.replicas_->publish(makeSnapshot(3, { { "k", "v", false } }));
     Node late(loop, "late", "d");
     late.presence_->start();
     introduce({ &a, &late });
@@ -188,8 +188,8 @@
     Node c(loop, "c", "e");
     introduce({ &a, &b, &c });
     // Two tables change together; neither may be forgotten for the other.
-    a.replicas_->publish(makeWhole(3, { { "k", "v", false } }, "t"));
-    a.replicas_->publish(makeWhole(4, { { "k", "v", false } }, "u"));
+    a.replicas_->publish(makeSnapshot(3, { { "k", "v", false } }, "t"));
+    a.replicas_->publish(makeSnapshot(4, { { "k", "v", false } }, "u"));
     loop.runFor(300ms);
     BOOST_TEST(b.replicas_->version("t") == 0); // Left to its own reader for a moment.
     loop.runFor(900ms);
--- a/tests/soak/soakrun.cpp
+++ b/tests/soak/soakrun.cpp
@@ -411,12 +411,12 @@
     const int kind = drawBelow(7);
     note("store fault " + std::to_string(kind));
     storeCalmSince_ = std::max(storeCalmSince_, loop_.now() + length);
-    constexpr std::array<StoreStandIn::Fault, 3> faults{ StoreStandIn::Fault::Refuses,
-                                                         StoreStandIn::Fault::Silent,
-                                                         StoreStandIn::Fault::Resets };
+    constexpr std::array<FakeStore::Fault, 3> faults{ FakeStore::Fault::Refuses,
+                                                      FakeStore::Fault::Silent,
+                                                      FakeStore::Fault::Resets };
     if (kind < int(faults.size())) {
         store_.setFault(faults.at(static_cast<std::size_t>(kind)));
-        later(length, [this] { store_.setFault(StoreStandIn::Fault::None); });
+        later(length, [this] { store_.setFault(FakeStore::Fault::None); });
         return;
     }
     if (kind == int(faults.size())) {
--- a/tests/soak/soakrun.h
+++ b/tests/soak/soakrun.h
@@ -1,7 +1,7 @@
 // One seeded run of the soak: a fleet under load, with faults from outside it.
 #pragma once
 
-#include "platform/tests/storestandin.h"
+#include "platform/tests/fakestore.h"
 #include "qz_http/stream/httpcaller.h"
 #include "soak/soakcallers.h"
 #include "soak/soakservers.h"
@@ -82,7 +82,7 @@
     EventLoop loop_;
     std::mt19937_64 faultRandom_; ///< For faults alone, so that a seed means the same ones.
     std::mt19937_64 random_;
-    StoreStandIn store_;
+    FakeStore store_;
     RunLedger ledger_;
     std::vector<std::unique_ptr<SoakServer>> servers_; ///< Those that have left stay.
     std::vector<std::unique_ptr<Instance>> instances_;
