--- a/packages/qz_placement/choice/placement.cpp
+++ b/packages/qz_placement/choice/placement.cpp
@@ -1,4 +1,4 @@
-// The cost of each server, and the choice of the lowest.
+// Compares the candidates of a request by cost and chooses the cheapest.
 #include "qz_placement/choice/placement.h"
 
 #include <algorithm>
@@ -14,49 +14,49 @@
 }
 
 Duration expectedAnswer(const PlacementCandidate &candidate, const PlacementRequest &request,
-                        const PlacementSettings &costs)
+                        const PlacementSettings &settings)
 {
-    Duration work = scaled(request.expectedLatency_, candidate.relativeLatency_);
-    // A request that waits for long says that the server is slower than its answers so far.
-    work = std::max(work, candidate.oldestRequestAge_);
-    const int ahead = std::max(0, candidate.inFlight_ + 1 - candidate.slots_);
-    const Duration wait = work * ahead / std::max(1, candidate.slots_);
-    const Duration travel = candidate.distance_ == Distance::OtherRegion
-            ? costs.interRegionRoundTrip_
+    Duration processing = scaled(request.expectedLatency_, candidate.relativeLatency_);
+    // A request that has waited longer than that shows that the server has become slower.
+    processing = std::max(processing, candidate.oldestRequestAge_);
+    const int queued = std::max(0, candidate.inFlight_ + 1 - candidate.slots_);
+    const Duration queueing = processing * queued / std::max(1, candidate.slots_);
+    const Duration network = candidate.distance_ == Distance::OtherRegion
+            ? settings.interRegionRoundTrip_
             : Duration::zero();
-    return work + wait + travel;
+    return processing + queueing + network;
 }
 
 Duration distanceCost(const PlacementCandidate &candidate, const PlacementRequest &request,
-                      const PlacementSettings &costs)
+                      const PlacementSettings &settings)
 {
     switch (candidate.distance_) {
     case Distance::SameDomain:
         break;
     case Distance::SameRegion:
-        return scaled(request.target_, costs.sameRegionCost_);
+        return scaled(request.target_, settings.sameRegionCost_);
     case Distance::OtherRegion:
-        return scaled(request.target_, costs.otherRegionCost_);
+        return scaled(request.target_, settings.otherRegionCost_);
     }
     return candidate.serverRole_ == ServerRole::Owner
             ? Duration::zero()
-            : scaled(request.target_, costs.nonOwnedCost_);
+            : scaled(request.target_, settings.nonOwnedCost_);
 }
 
-bool isFull(const PlacementCandidate &candidate, const PlacementSettings &costs)
+bool isFull(const PlacementCandidate &candidate, const PlacementSettings &settings)
 {
-    return candidate.inFlight_ >= candidate.slots_ * (1 + costs.maxQueuedPerSlot_);
+    return candidate.inFlight_ >= candidate.slots_ * (1 + settings.maxQueuedPerSlot_);
 }
 
-/// Whether holds give way, and for which reason.
-struct HoldRelief
+/// Reasons to send trial requests before ejections end.
+struct EarlyTrialReasons
 {
-    bool isCongested_ = false; ///< Requests wait for the servers in good health.
-    bool isFloorNear_ = false; ///< Many requests fail and too many servers are left out.
+    bool isCongested_ = false; ///< Requests queue at the servers in good health.
+    bool isFloorNear_ = false; ///< Many requests fail and too many servers are ejected.
 };
 
-bool isDueForTrial(const PlacementCandidate &candidate, const HoldRelief &relief,
-                   const PlacementSettings &costs, TimePoint now)
+bool isDueForTrial(const PlacementCandidate &candidate, const EarlyTrialReasons &reasons,
+                   const PlacementSettings &settings, TimePoint now)
 {
     if (candidate.state_ == ServerHealth::State::Good || candidate.inFlight_ > 0
         || candidate.wasAttempted_) {
@@ -65,29 +65,30 @@
     switch (candidate.serverRole_) {
     case ServerRole::Owner:
         return now >= candidate.ejectedUntil_
-                || ((relief.isCongested_ || relief.isFloorNear_)
-                    && now >= candidate.ejectedSince_ + costs.ownerEarlyTrialDelay_);
+                || ((reasons.isCongested_ || reasons.isFloorNear_)
+                    && now >= candidate.ejectedSince_ + settings.ownerEarlyTrialDelay_);
     case ServerRole::Backup:
-        if (relief.isFloorNear_ && now >= candidate.ejectedSince_ + costs.backupEarlyTrialDelay_) {
+        if (reasons.isFloorNear_
+            && now >= candidate.ejectedSince_ + settings.backupEarlyTrialDelay_) {
             return true;
         }
         break;
     case ServerRole::None:
         break;
     }
-    return now >= candidate.ejectedUntil_ + costs.nonOwnerTrialDelay_;
+    return now >= candidate.ejectedUntil_ + settings.nonOwnerTrialDelay_;
 }
 
-/// Whether so many servers are held for long that the rest is too small a part of the service.
-bool isFloorNear(const std::vector<PlacementCandidate> &candidates, const PlacementSettings &costs,
-                 TimePoint now)
+/// Whether the share of the servers that have been ejected for long exceeds its limit.
+bool isFloorNear(const std::vector<PlacementCandidate> &candidates,
+                 const PlacementSettings &settings, TimePoint now)
 {
-    const auto leftOut = std::count_if(candidates.begin(), candidates.end(), [&](const auto &c) {
+    const auto ejected = std::count_if(candidates.begin(), candidates.end(), [&](const auto &c) {
         return c.state_ != ServerHealth::State::Good
-                && now >= c.ejectedSince_ + costs.ownerEarlyTrialDelay_;
+                && now >= c.ejectedSince_ + settings.ownerEarlyTrialDelay_;
     });
-    return static_cast<double>(leftOut)
-            > costs.maxEjectedShare_ * static_cast<double>(candidates.size());
+    return static_cast<double>(ejected)
+            > settings.maxEjectedShare_ * static_cast<double>(candidates.size());
 }
 
 bool hasFreeSlot(const std::vector<PlacementCandidate> &candidates)
@@ -97,35 +98,35 @@
     });
 }
 
-/// Whether this instance is to send the server a request so that it stays in use.
+/// Whether this instance should send the request to the server so that it stays in use.
 bool isDueForUse(const PlacementCandidate &candidate, const PlacementRequest &request,
-                 const PlacementSettings &costs, TimePoint now)
+                 const PlacementSettings &settings, TimePoint now)
 {
     const bool isIdle = candidate.inFlight_ < candidate.slots_
-            && now - candidate.lastSent_ > costs.maxIdleTime_;
+            && now - candidate.lastSent_ > settings.maxIdleTime_;
     const bool isKeptInUse = candidate.serverRole_ == ServerRole::Owner
             || (candidate.serverRole_ == ServerRole::Backup && request.shouldSpread_);
     return isIdle && isKeptInUse;
 }
 
-/// Chooses which servers of other owners are compared: the first few of each distance.
-class ForeignSample
+/// Limits the comparison of servers that other instances own to the first few of each distance.
+class NonOwnedSample
 {
 public:
-    explicit ForeignSample(int limit)
+    explicit NonOwnedSample(int limit)
         : limit_(limit)
     {
     }
 
-    bool takes(const PlacementCandidate &candidate)
+    bool tryAdd(const PlacementCandidate &candidate)
     {
         return candidate.serverRole_ == ServerRole::Owner
-                || taken_[static_cast<std::size_t>(candidate.distance_)]++ < limit_;
+                || counts_[static_cast<std::size_t>(candidate.distance_)]++ < limit_;
     }
 
 private:
     const int limit_;
-    std::array<int, 3> taken_{}; ///< By distance.
+    std::array<int, 3> counts_{}; ///< By distance.
 };
 
 } // namespace
@@ -153,26 +154,28 @@
 
 std::optional<Placement> choosePlacement(const std::vector<PlacementCandidate> &candidates,
                                          const PlacementRequest &request,
-                                         const PlacementSettings &costs, TimePoint now)
+                                         const PlacementSettings &settings, TimePoint now)
 {
     std::optional<Placement> best;
     Duration bestCost{};
-    ForeignSample sample(costs.nonOwnedSampleSize_);
-    std::optional<Placement> leastHeld;
-    Duration leastHold{};
-    const PlacementCandidate *longestHeld = nullptr; // Of those whose trial is due.
+    NonOwnedSample sample(settings.nonOwnedSampleSize_);
+    std::optional<Placement> bestEjected;
+    Duration bestEjectedCost{};
+    const PlacementCandidate *longestEjected = nullptr; // Of the servers due for a trial.
     std::optional<Placement> trial;
-    const HoldRelief relief{ request.isCongested_ || !hasFreeSlot(candidates),
-                             request.shouldSpread_ && isFloorNear(candidates, costs, now) };
+    const EarlyTrialReasons reasons{ request.isCongested_ || !hasFreeSlot(candidates),
+                                     request.shouldSpread_
+                                             && isFloorNear(candidates, settings, now) };
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         const PlacementCandidate &candidate = candidates[i];
-        if (candidate.wasAttempted_ || isFull(candidate, costs)) {
+        if (candidate.wasAttempted_ || isFull(candidate, settings)) {
             continue;
         }
-        const Duration expected = expectedAnswer(candidate, request, costs);
-        if (isDueForTrial(candidate, relief, costs, now)) {
-            if (longestHeld == nullptr || candidate.ejectedSince_ < longestHeld->ejectedSince_) {
-                longestHeld = &candidate;
+        const Duration expected = expectedAnswer(candidate, request, settings);
+        if (isDueForTrial(candidate, reasons, settings, now)) {
+            if (longestEjected == nullptr
+                || candidate.ejectedSince_ < longestEjected->ejectedSince_) {
+                longestEjected = &candidate;
                 trial = Placement{ i, true, expected };
             }
             continue;
@@ -181,19 +184,19 @@
             continue;
         }
         if (candidate.state_ != ServerHealth::State::Good) {
-            const Duration hold = std::max(Duration::zero(), candidate.ejectedUntil_ - now)
-                    + distanceCost(candidate, request, costs);
-            if (!leastHeld || hold < leastHold) {
-                leastHeld = Placement{ i, true, expected };
-                leastHold = hold;
+            const Duration ejectedCost = std::max(Duration::zero(), candidate.ejectedUntil_ - now)
+                    + distanceCost(candidate, request, settings);
+            if (!bestEjected || ejectedCost < bestEjectedCost) {
+                bestEjected = Placement{ i, true, expected };
+                bestEjectedCost = ejectedCost;
             }
             continue;
         }
-        const bool isDue = isDueForUse(candidate, request, costs, now);
-        if (!isDue && !sample.takes(candidate)) {
+        const bool isDue = isDueForUse(candidate, request, settings, now);
+        if (!isDue && !sample.tryAdd(candidate)) {
             continue;
         }
-        const Duration cost = expected + distanceCost(candidate, request, costs)
+        const Duration cost = expected + distanceCost(candidate, request, settings)
                 - (isDue ? request.target_ : Duration::zero());
         if (!best || cost < bestCost) {
             best = Placement{ i, false, expected };
@@ -203,7 +206,7 @@
     if (trial) {
         return trial;
     }
-    return best ? best : leastHeld;
+    return best ? best : bestEjected;
 }
 
 } // namespace qz
--- a/packages/qz_placement/choice/placement.h
+++ b/packages/qz_placement/choice/placement.h
@@ -1,4 +1,4 @@
-// Which backend server takes a request.
+// Chooses the backend server that a request is sent to.
 #pragma once
 
 #include "qz_core/ids/ids.h"
@@ -11,99 +11,106 @@
 
 namespace qz {
 
-/// How far a backend server is from this instance.
+/// Distance between this instance and a backend server.
 enum class Distance : std::uint8_t { SameDomain, SameRegion, OtherRegion };
 
 Distance distanceBetween(const Location &a, const Location &b);
 std::string_view toString(Distance distance);
 
-/// What the choice knows of one server.
+/// State of one backend server, as an input of choosePlacement().
 struct PlacementCandidate
 {
     Distance distance_ = Distance::SameDomain;
     ServerHealth::State state_ = ServerHealth::State::Good;
-    TimePoint ejectedUntil_{};
-    TimePoint ejectedSince_{};
-    TimePoint lastSent_{};           ///< When it last got a request from this instance.
-    int slots_ = 1;                  ///< Requests that the server works on at once.
-    int inFlight_ = 0;               ///< Requests of this instance that it has not answered.
-    double relativeLatency_ = 1.0;   ///< Its time in relation to the service's mean.
-    Duration oldestRequestAge_{ 0 }; ///< Age of the oldest request that it has not answered.
-    bool wasAttempted_ = false;      ///< This request was sent to it before.
-    ServerRole serverRole_ = ServerRole::Owner; ///< Of this instance.
+    TimePoint ejectedUntil_{};       ///< End of the current ejection.
+    TimePoint ejectedSince_{};       ///< Start of the current ejection.
+    TimePoint lastSent_{};           ///< Time of this instance's last request to the server.
+    int slots_ = 1;                  ///< Requests that the server processes concurrently.
+    int inFlight_ = 0;               ///< Requests from this instance without an answer yet.
+    double relativeLatency_ = 1.0;   ///< Mean latency divided by that of the service.
+    Duration oldestRequestAge_{ 0 }; ///< Age of the oldest request without an answer yet.
+    bool wasAttempted_ = false;      ///< This request was sent to the server before.
+    ServerRole serverRole_ = ServerRole::Owner; ///< Role of this instance for the server.
 };
 
-/// What the choice knows of the request.
+/// The request to place, as an input of choosePlacement().
 struct PlacementRequest
 {
     bool isRepeatable_ = false;
-    Duration target_{};          ///< Time within which the answer is in target.
-    Duration timeLeft_{};        ///< Until the request ends in any case.
-    Duration expectedLatency_{}; ///< Mean time of an answer of the service.
-    /// Many of the service's requests fail: spread the others over all its servers.
+    Duration target_{};          ///< Time within which the answer meets its target.
+    Duration timeLeft_{};        ///< Time until the deadline.
+    Duration expectedLatency_{}; ///< Mean latency of the service.
+    /// Many requests of the service fail: use all its servers. @see spreadFailureRate
     bool shouldSpread_ = false;
-    /// Requests wait for the servers in use: held ones are worth a trial. @see ServiceLatency
+    /// Requests queue at the servers in use: ejected ones get early trials. @see ServiceLatency
     bool isCongested_ = false;
 };
 
-/// The part of a service's requests at one instance that fails from which on
-/// PlacementRequest::shouldSpread_ holds. Below the tenth, over all instances, at which the floor
-/// of servers in use binds: what one instance sees differs from the whole by a few in a hundred.
+/// Failure rate of a service at one instance above which PlacementRequest::shouldSpread_ is set.
+/// The floor of servers in use applies from a failure rate of 0.1 over all instances. This
+/// threshold is lower, because the rate at one instance differs from that by a few percentage
+/// points.
 constexpr double spreadFailureRate = 0.08;
 
-/// What a server costs beside its time, as a part of the request's target time. Bytes between
-/// failure domains and regions are paid by volume, so work stays near unless it would be late
-/// there.
+/// Costs, delays and limits of choosePlacement(). Each cost is a fraction of the request's target
+/// time and is added to the expected answer time. Traffic between failure domains and regions is
+/// paid by volume, so requests go to near servers unless the answer would be late.
 struct PlacementSettings
 {
-    /// A server of the domain that another instance owns: how much of that one's work waits
-    /// there is not known here.
+    /// Cost of a server of the same domain that another instance owns: this instance cannot see
+    /// how many of the owner's requests are queued there.
     double nonOwnedCost_ = 0.05;
     double sameRegionCost_ = 0.25;
     double otherRegionCost_ = 0.6;
-    Duration interRegionRoundTrip_ = std::chrono::milliseconds(24); ///< Round trip.
-    /// A held server that another instance owns is tried by this one at last after this time.
+    Duration interRegionRoundTrip_ = std::chrono::milliseconds(24); ///< Network round trip.
+    /// Delay from the end of an ejection until an instance other than the owner sends a trial
+    /// request.
     Duration nonOwnerTrialDelay_ = std::chrono::seconds(8);
-    /// A hold gives way at the server's owner after this time if requests wait for the servers
-    /// in good health. While many requests fail the floor counts a server as sound again then, and
-    /// the longest held ones are tried if more than maxEjectedShare_ of the servers are held for
-    /// so long.
+    /// Delay from the start of an ejection until the owner may send a trial request, although the
+    /// ejection has not ended. Applies if requests queue at the servers in good health, or if many
+    /// requests fail and more than maxEjectedShare_ of the servers have been ejected for this long.
+    /// While many requests fail, the floor counts a server as healthy again after the same time.
     Duration ownerEarlyTrialDelay_ = std::chrono::seconds(2);
-    /// The same at the server's deputy: longer by what a trial by the owner and its note take.
+    /// The same delay for the backup, which sends early trials only while many requests fail.
+    /// Longer by the time that the owner's trial and its health report take.
     Duration backupEarlyTrialDelay_ = std::chrono::milliseconds(2700);
-    /// Half of what the floor leaves, since it counts the servers without disruption alone.
+    /// Half of what the floor allows to be out of service, because the floor counts only the
+    /// servers without a disruption.
     double maxEjectedShare_ = 0.15;
-    /// A server that got no request for so long goes before the others, so that enough of a
-    /// service's servers are in use when many requests come to fail.
+    /// A server to which this instance has sent no request for longer than this is preferred, so
+    /// that enough servers of a service are in use when many requests start to fail.
     Duration maxIdleTime_ = std::chrono::milliseconds(1300);
-    int maxQueuedPerSlot_ = 4; ///< Requests of this instance that may wait at a server, a slot.
-    /// Servers of other owners that are compared, of each distance. If all instances took the
-    /// best of all, they would take the same one, as none sees the others' work.
+    int maxQueuedPerSlot_ = 4; ///< Requests of this instance that may queue at a server, per slot.
+    /// Number of servers owned by other instances that are compared, for each distance. Instances
+    /// do not see each other's requests, so if each compared all servers, they would all choose
+    /// the same one.
     int nonOwnedSampleSize_ = 3;
 };
 
 struct Placement
 {
-    std::size_t index_ = 0;
-    bool isTrial_ = false;
-    Duration expectedLatency_{}; ///< Until the answer.
+    std::size_t index_ = 0;      ///< Index of the chosen candidate.
+    bool isTrial_ = false;       ///< The server is ejected, or on trial after an ejection.
+    Duration expectedLatency_{}; ///< Expected time until the answer.
 };
 
-/// Load pattern: slots suffice on the whole, but a part of the servers fails or is slow at
-/// any time, and the servers of one failure domain alone can be too few. Chooses the server
-/// with the lowest expected answer time plus the cost of distance, out of those in good
-/// health; of the servers of other owners the first few count, so @p candidates are to come in
-/// a random order. A server whose trial is due goes first, at the instance that owns its trial; of
-/// several the longest held. If only held servers are left, the one whose hold ends first is
-/// taken. Empty if no server could answer in the time left.
+/// Returns the candidate in good health with the lowest sum of expected answer time and cost of
+/// distance. Of the servers that other instances own, only the first few are compared, so
+/// @p candidates must be in random order.
 ///
-/// Most work of an instance stays with the servers that it owns, whose queues it knows, and of
-/// these with the ones that answer fast, since each server in use costs requests when it begins
-/// to fail; the others get a request now and then from the instance that owns
-/// them. Once many requests fail, deputies use idle servers too, and holds end sooner: servers
-/// that failed for a moment must not be left out then.
+/// A server for which this instance is due to send a trial request is chosen before all others;
+/// of several such servers, the one with the longest ejection. If only ejected servers are left,
+/// returns the one whose ejection ends first. Returns no value if no server can answer within
+/// the remaining time.
+///
+/// Assumed load: there are enough slots overall, but at any time some of the servers fail or are
+/// slow, and the servers of one failure domain may be too few. An instance therefore sends most
+/// requests to the servers that it owns, whose queues it knows. Of these it prefers the fastest,
+/// because each server in use costs requests when it starts to fail. The other servers get an
+/// occasional request from their owner. Once many requests fail, backups use idle servers too and
+/// trials are sent earlier, so that servers with a short failure return to service.
 std::optional<Placement> choosePlacement(const std::vector<PlacementCandidate> &candidates,
                                          const PlacementRequest &request,
-                                         const PlacementSettings &costs, TimePoint now);
+                                         const PlacementSettings &settings, TimePoint now);
 
 } // namespace qz
--- a/packages/qz_placement/choice/serverroles.cpp
+++ b/packages/qz_placement/choice/serverroles.cpp
@@ -1,4 +1,4 @@
-// Owner and deputy of a server by rendezvous hash.
+// Computes the owner and the backup of a server by rendezvous hashing.
 #include "qz_placement/choice/serverroles.h"
 
 #include "qz_core/hashing/rendezvous.h"
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Servers that are known for longer than the list keeps them are forgotten at this number.
-constexpr std::size_t knownLimit = 10000;
+/// The cache is cleared at this size, because it also holds servers that are no longer listed.
+constexpr std::size_t maxCachedServers = 10000;
 
 bool isSame(const std::vector<RoleCandidate> &a, const std::vector<RoleCandidate> &b)
 {
@@ -20,24 +20,25 @@
     });
 }
 
-/// The id of the first of those that @p isEligible accepts; empty if it accepts none.
+/// Returns the id of the candidate with the highest weight for @p server among those that
+/// @p isEligible accepts; empty if it accepts none.
 template<typename Predicate>
-InstanceId firstOf(const std::vector<RoleCandidate> &candidates, const BackendServerId &server,
-                   Predicate isEligible)
+InstanceId highestWeighted(const std::vector<RoleCandidate> &candidates,
+                           const BackendServerId &server, Predicate isEligible)
 {
-    const RoleCandidate *first = nullptr;
+    const RoleCandidate *best = nullptr;
     std::uint64_t highest = 0;
     for (const RoleCandidate &candidate : candidates) {
         if (!isEligible(candidate)) {
             continue;
         }
         const std::uint64_t weight = rendezvousWeight(server.value(), candidate.id_.value());
-        if (first == nullptr || weight > highest) {
-            first = &candidate;
+        if (best == nullptr || weight > highest) {
+            best = &candidate;
             highest = weight;
         }
     }
-    return first == nullptr ? InstanceId() : first->id_;
+    return best == nullptr ? InstanceId() : best->id_;
 }
 
 } // namespace
@@ -51,38 +52,39 @@
 {
     if (!isSame(candidates, candidates_)) {
         candidates_ = std::move(candidates);
-        known_.clear();
+        cache_.clear();
     }
 }
 
 ServerRole ServerRoles::find(const BackendServerId &server, const Location &location) const
 {
-    const auto found = known_.find(server);
-    if (found != known_.end()) {
+    const auto found = cache_.find(server);
+    if (found != cache_.end()) {
         return found->second;
     }
-    if (known_.size() >= knownLimit) {
-        known_.clear();
+    if (cache_.size() >= maxCachedServers) {
+        cache_.clear();
     }
-    return known_[server] = compute(server, location);
+    return cache_[server] = compute(server, location);
 }
 
 ServerRole ServerRoles::compute(const BackendServerId &server, const Location &location) const
 {
-    const auto isOfDomain = [&location](const RoleCandidate &candidate) {
+    const auto isInDomain = [&location](const RoleCandidate &candidate) {
         return candidate.location_.failureDomain_ == location.failureDomain_;
     };
-    if (firstOf(candidates_, server, isOfDomain) == self_) {
+    if (highestWeighted(candidates_, server, isInDomain) == self_) {
         return ServerRole::Owner;
     }
-    const auto isNear = [&](const RoleCandidate &candidate) {
-        return !isOfDomain(candidate) && candidate.location_.region_ == location.region_;
+    const auto isInOtherDomainOfRegion = [&](const RoleCandidate &candidate) {
+        return !isInDomain(candidate) && candidate.location_.region_ == location.region_;
     };
-    InstanceId deputy = firstOf(candidates_, server, isNear);
-    if (deputy.isEmpty()) {
-        deputy = firstOf(candidates_, server, [&](const auto &c) { return !isOfDomain(c); });
+    InstanceId backup = highestWeighted(candidates_, server, isInOtherDomainOfRegion);
+    if (backup.isEmpty()) {
+        backup =
+                highestWeighted(candidates_, server, [&](const auto &c) { return !isInDomain(c); });
     }
-    return deputy == self_ ? ServerRole::Backup : ServerRole::None;
+    return backup == self_ ? ServerRole::Backup : ServerRole::None;
 }
 
 } // namespace qz
--- a/packages/qz_placement/choice/serverroles.h
+++ b/packages/qz_placement/choice/serverroles.h
@@ -1,4 +1,4 @@
-// Which instance looks after which backend server.
+// Assigns the owner and the backup of each backend server.
 #pragma once
 
 #include "qz_core/ids/ids.h"
@@ -9,35 +9,35 @@
 
 namespace qz {
 
-/// What an instance does to keep a server in use and to find out whether it has recovered.
-/// Other instances use the server by its cost alone, so that few requests find out that it
-/// fails.
+/// Role of an instance for a backend server. Owner and backup keep the server in use and send
+/// trial requests after an ejection. Other instances choose the server by its cost alone, so that
+/// only a few requests are lost to find out that it fails.
 enum class ServerRole : std::uint8_t {
-    None,
-    Owner,  ///< One instance of the server's failure domain.
-    Backup, ///< One of another domain: steps in while many requests fail.
+    None,   ///< Neither owner nor backup.
+    Owner,  ///< An instance in the server's failure domain.
+    Backup, ///< An instance in another domain; active while many requests fail.
 };
 
-/// An instance that callers are sent to.
+/// An instance that callers connect to.
 struct RoleCandidate
 {
     InstanceId id_;
     Location location_;
 };
 
-/// Deals out the duties for all servers among the instances that callers are sent to, by
-/// rendezvous hash. Instances that disagree on who these are leave a server without its owner,
-/// or with two, for a moment; the deputy covers the first case.
+/// Assigns the roles for all servers to the instances that callers connect to, by rendezvous
+/// hashing. While instances disagree on this set of instances, a server can have no owner or two
+/// owners; the backup covers the first case.
 /// @see choosePlacement
 class ServerRoles
 {
 public:
     explicit ServerRoles(InstanceId self);
 
-    /// The instances that callers of all failure domains are sent to.
+    /// Sets the instances that callers of all failure domains connect to.
     void setCandidates(std::vector<RoleCandidate> candidates);
 
-    /// This instance's duty for a server.
+    /// Returns the role of this instance for a server.
     ServerRole find(const BackendServerId &server, const Location &location) const;
 
 private:
@@ -45,8 +45,8 @@
 
     const InstanceId self_;
     std::vector<RoleCandidate> candidates_;
-    /// Invariant: computed with the present candidates, for servers asked for since.
-    mutable std::map<BackendServerId, ServerRole> known_;
+    /// Roles by server. Invariant: computed from candidates_.
+    mutable std::map<BackendServerId, ServerRole> cache_;
 };
 
 } // namespace qz
--- a/packages/qz_placement/health/failureratetracker.cpp
+++ b/packages/qz_placement/health/failureratetracker.cpp
@@ -1,4 +1,4 @@
-// Two sliding windows of requests' ends.
+// Counts request results in sliding windows.
 #include "qz_placement/health/failureratetracker.h"
 
 #include <algorithm>
@@ -7,41 +7,41 @@
 
 namespace {
 
-/// Ends in a window from which on their share says something.
-constexpr std::size_t enoughEnds = 12;
+/// Results that a window needs for a meaningful failure rate.
+constexpr std::size_t minResults = 12;
 
 } // namespace
 
 void FailureRateTracker::record(bool isServed, TimePoint now)
 {
     for (Window &window : windows_) {
-        window.forget(now);
+        window.removeExpired(now);
         window.ends_.push_back({ now, isServed });
-        window.unservedCount_ += isServed ? 0 : 1;
+        window.failureCount_ += isServed ? 0 : 1;
     }
 }
 
 double FailureRateTracker::failureRate(TimePoint now)
 {
-    double worst = 0.0;
+    double highest = 0.0;
     for (Window &window : windows_) {
-        window.forget(now);
-        worst = std::max(worst, window.failureRate());
+        window.removeExpired(now);
+        highest = std::max(highest, window.failureRate());
     }
-    return worst;
+    return highest;
 }
 
 double FailureRateTracker::Window::failureRate() const
 {
-    return ends_.size() < enoughEnds
+    return ends_.size() < minResults
             ? 0.0
-            : static_cast<double>(unservedCount_) / static_cast<double>(ends_.size());
+            : static_cast<double>(failureCount_) / static_cast<double>(ends_.size());
 }
 
-void FailureRateTracker::Window::forget(TimePoint now)
+void FailureRateTracker::Window::removeExpired(TimePoint now)
 {
     while (!ends_.empty() && now - ends_.front().at_ > length_) {
-        unservedCount_ -= ends_.front().isServed_ ? 0 : 1;
+        failureCount_ -= ends_.front().isServed_ ? 0 : 1;
         ends_.pop_front();
     }
 }
--- a/packages/qz_placement/health/failureratetracker.h
+++ b/packages/qz_placement/health/failureratetracker.h
@@ -1,4 +1,4 @@
-// The part of a service's requests that was served of late.
+// Measures the share of a service's recent requests that failed.
 #pragma once
 
 #include "qz_core/time/clock.h"
@@ -8,19 +8,19 @@
 
 namespace qz {
 
-/// Counts the ends of requests over the last seconds, and over the last second alone, so that
-/// a sudden rise of failures shows at once.
+/// Counts the results of requests in two sliding windows of three seconds and one second. The
+/// shorter window shows a sudden rise of the failure rate immediately.
 class FailureRateTracker
 {
 public:
     void record(bool isServed, TimePoint now);
 
-    /// The part that was not served, 0 to 1, in the worse of the two windows; 0 with too few
-    /// requests to tell.
+    /// Returns the higher failure rate of the two windows, 0 to 1. A window with too few requests
+    /// counts as 0.
     double failureRate(TimePoint now);
 
 private:
-    struct End
+    struct RequestEnd
     {
         TimePoint at_;
         bool isServed_;
@@ -28,10 +28,10 @@
     struct Window
     {
         Duration length_;
-        std::deque<End> ends_; ///< Not older than the length.
-        int unservedCount_ = 0;
+        std::deque<RequestEnd> ends_; ///< Not older than the length.
+        int failureCount_ = 0;
 
-        void forget(TimePoint now);
+        void removeExpired(TimePoint now);
         double failureRate() const;
     };
 
--- a/packages/qz_placement/health/serverhealth.cpp
+++ b/packages/qz_placement/health/serverhealth.cpp
@@ -1,4 +1,4 @@
-// Holds and trials of a backend server.
+// Implements the ejections and trials of a backend server.
 #include "qz_placement/health/serverhealth.h"
 
 #include <algorithm>
@@ -7,23 +7,23 @@
 
 namespace {
 
-/// Suspicion at which a server is held.
-constexpr double holdLevel = 1.0;
+/// Failure score at which a server is ejected.
+constexpr double ejectionScore = 1.0;
 
-/// The share of a new answer in the mean latency.
+/// Weight of a new answer in the mean latency.
 constexpr double latencyGain = 0.25;
 
-/// A connection that breaks sooner than this part of the time of the quickest answers was
-/// refused rather than lost with an answer.
-constexpr double earlyPart = 0.5;
+/// A connection that breaks earlier than this fraction of the fastest latency has refused the
+/// request rather than lost its answer.
+constexpr double earlyFraction = 0.5;
 
-/// How much of the quickest answer's time is added with each slower one, so that one odd
-/// answer does not count for ever.
-constexpr double quickestDrift = 0.01;
+/// Relative increase of the fastest latency with each answer, so that a single unusually fast
+/// answer loses its effect.
+constexpr double minLatencyDrift = 0.01;
 
-/// Evidence of one result. Sound servers answer with a failure, shed when full and lose an
-/// answer now and then, so these count in part only.
-double weightOf(AttemptResult result, bool isEarly)
+/// Returns the failure score of one result. Healthy servers occasionally return an error, shed
+/// requests at full load or lose an answer, so these results have a lower score.
+double scoreOf(AttemptResult result, bool isEarly)
 {
     switch (result) {
     case AttemptResult::Cut:
@@ -93,56 +93,56 @@
     return now < ejectedUntil_ ? State::Ejected : State::Trial;
 }
 
-bool ServerHealth::record(AttemptResult result, Duration took, bool isRepeatable, TimePoint now)
+bool ServerHealth::record(AttemptResult result, Duration latency, bool isRepeatable, TimePoint now)
 {
     if (result == AttemptResult::Cancelled) {
         return false;
     }
     if (result == AttemptResult::Answered) {
         const double gain = meanLatency_ == Duration::zero() ? 1.0 : latencyGain;
-        meanLatency_ += std::chrono::duration_cast<Duration>((took - meanLatency_) * gain);
-        quickest_ += std::chrono::duration_cast<Duration>(quickest_ * quickestDrift);
-        quickest_ = quickest_ == Duration::zero() ? took : std::min(quickest_, took);
+        meanLatency_ += std::chrono::duration_cast<Duration>((latency - meanLatency_) * gain);
+        minLatency_ += std::chrono::duration_cast<Duration>(minLatency_ * minLatencyDrift);
+        minLatency_ = minLatency_ == Duration::zero() ? latency : std::min(minLatency_, latency);
         failureScore_ /= 2.0;
-        // Answers to requests from before the hold say nothing of the trial.
-        if (trialsLeft_ > 0 && now - took >= ejectedSince_ && --trialsLeft_ == 0) {
+        // An answer to a request sent before the ejection is not a result of the trial.
+        if (trialsLeft_ > 0 && now - latency >= ejectedSince_ && --trialsLeft_ == 0) {
             ejectedUntil_ = std::min(ejectedUntil_, now);
-            nextHold_ = Duration::zero();
+            nextEjectionTime_ = Duration::zero();
         }
         return false;
     }
-    // A queue lengthens the mean, not the quickest answers.
-    const bool isEarly = quickest_ == Duration::zero() || took < quickest_ * earlyPart;
-    failureScore_ += weightOf(result, isEarly);
+    // Compared with the fastest latency, because queueing increases the mean latency.
+    const bool isEarly = minLatency_ == Duration::zero() || latency < minLatency_ * earlyFraction;
+    failureScore_ += scoreOf(result, isEarly);
     const bool isOnTrial = trialsLeft_ > 0;
-    if (failureScore_ < holdLevel && !isOnTrial) {
+    if (failureScore_ < ejectionScore && !isOnTrial) {
         return false;
     }
-    // Requests that were under way when the hold began fail together; they are one failure.
-    const bool wasUnderWay = trialsLeft_ > 0 && now - took < ejectedSince_;
-    if (!wasUnderWay) {
-        hold(!isRepeatable && isEarly && isServerFault(result), now);
+    // Requests in flight at the start of the ejection fail together and count as one failure.
+    const bool wasInFlight = trialsLeft_ > 0 && now - latency < ejectedSince_;
+    if (!wasInFlight) {
+        eject(!isRepeatable && isEarly && isServerFault(result), now);
         return true;
     }
     return false;
 }
 
-void ServerHealth::hold(bool isCostly, TimePoint now)
+void ServerHealth::eject(bool isTrialCostly, TimePoint now)
 {
-    const Duration first =
-            isCostly ? limits_.nonRepeatableBaseEjectionTime_ : limits_.baseEjectionTime_;
-    const Duration length = std::max(first, nextHold_);
+    const Duration minTime =
+            isTrialCostly ? limits_.nonRepeatableBaseEjectionTime_ : limits_.baseEjectionTime_;
+    const Duration length = std::max(minTime, nextEjectionTime_);
     ejectedSince_ = now;
     ejectedUntil_ = now + length;
-    nextHold_ = std::min(length * 2, limits_.maxEjectionTime_);
+    nextEjectionTime_ = std::min(length * 2, limits_.maxEjectionTime_);
     trialsLeft_ = limits_.trialSuccesses_;
     failureScore_ = 0.0;
 }
 
-void ServerHealth::applyReportedEjection(Duration hold, TimePoint now)
+void ServerHealth::applyReportedEjection(Duration remaining, TimePoint now)
 {
     ejectedSince_ = now;
-    ejectedUntil_ = std::max(ejectedUntil_, now + std::min(hold, limits_.maxEjectionTime_));
+    ejectedUntil_ = std::max(ejectedUntil_, now + std::min(remaining, limits_.maxEjectionTime_));
     trialsLeft_ = std::max(trialsLeft_, 1);
 }
 
@@ -151,7 +151,7 @@
     ejectedUntil_ = std::min(ejectedUntil_, now);
     trialsLeft_ = 0;
     failureScore_ = 0.0;
-    nextHold_ = Duration::zero();
+    nextEjectionTime_ = Duration::zero();
 }
 
 double ServerHealth::relativeLatency(Duration expected) const
--- a/packages/qz_placement/health/serverhealth.h
+++ b/packages/qz_placement/health/serverhealth.h
@@ -1,4 +1,4 @@
-// What is believed of one backend server from the requests sent to it.
+// Tracks the health of one backend server from the results of the requests sent to it.
 #pragma once
 
 #include "qz_core/time/clock.h"
@@ -8,91 +8,97 @@
 
 namespace qz {
 
-/// How a request sent to a backend server ended.
+/// Result of one request sent to a backend server.
 enum class AttemptResult : std::uint8_t {
-    Answered,      ///< A whole answer that is no failure of the server.
-    ServerError,   ///< The server answered that it failed.
-    Shed,          ///< The server said that it did not run the request.
-    Cut,           ///< The connection or the answer broke after the request was sent.
-    Silent,        ///< The way to the server went silent after the request was sent.
-    TimedOut,      ///< No answer in the time that the request had.
-    ConnectFailed, ///< Nothing was sent.
-    WrongInstance, ///< Another server has the address.
-    Overtaken,     ///< Another server answered a second try of the request first.
-    Cancelled,     ///< Given up for a reason that does not lie with the server.
+    Answered,      ///< A complete answer that is not a failure of the server.
+    ServerError,   ///< The server answered with an error.
+    Shed,          ///< The server answered that it did not run the request.
+    Cut,           ///< The connection broke after the request was sent, also within the answer.
+    Silent,        ///< The connection stopped responding after the request was sent.
+    TimedOut,      ///< No answer before the deadline of the request.
+    ConnectFailed, ///< The connection could not be opened; nothing was sent.
+    WrongInstance, ///< A different server uses the address now.
+    Overtaken,     ///< Another server answered a second attempt of the request first.
+    Cancelled,     ///< Cancelled for a reason unrelated to the server.
 };
 
 std::string_view toString(AttemptResult result);
 
-/// Whether a failure says something of the server for all instances, rather than of the way
-/// from this one to it.
+/// Whether the server itself caused a failure, so that all instances should know about it. Other
+/// failures can be due to the network path from this instance.
 bool isServerFault(AttemptResult result);
 
-/// How long a server is left alone after a failure, and how it comes back.
+/// Durations of ejections, and the condition under which a server returns to service.
 struct EjectionLimits
 {
-    /// After the first failure of a request that may be repeated.
+    /// First ejection after the failure of a repeatable request.
     Duration baseEjectionTime_ = std::chrono::milliseconds(1500);
-    /// After the first failure of one that may not: its trial costs a request, so it comes
-    /// when most spells of failure are over.
+    /// First ejection after the failure of a non-repeatable request. A failed trial loses such a
+    /// request, so the trial is sent when most failure periods have ended.
     Duration nonRepeatableBaseEjectionTime_ = std::chrono::seconds(6);
-    Duration maxEjectionTime_ = std::chrono::seconds(8); ///< Holds double up to this.
-    int trialSuccesses_ = 2; ///< Answers in a row that end the trial of a held server.
+    Duration maxEjectionTime_ = std::chrono::seconds(8); ///< Ejections double up to this time.
+    int trialSuccesses_ = 2;                             ///< Consecutive answers that end a trial.
 };
 
-/// Load pattern: a server fails part of its requests for some seconds while its health
-/// check is good, at a few requests a second. A reset that comes at once is rare at a sound
-/// server, so it alone holds the server; answers of failure, sheds and resets in place of an
-/// answer have to come close together.
+/// Ejects a server for a limited time when its requests fail.
 ///
-/// A held server gets nothing until its hold ends, then one request at a time until it has
-/// answered some in a row. A failure in this trial holds it for longer.
+/// Assumed load: a server gets a few requests per second and fails some of them for several
+/// seconds, although its health check passes. An immediate connection reset is rare on a healthy
+/// server, so a single one ejects the server. Error answers, shed requests and resets in place of
+/// an answer eject it only if several occur close together.
 ///
-/// Invariant: a hold ends by itself, so a server is never left out for good.
+/// After an ejection the server is on trial: it gets one request at a time until it has answered
+/// EjectionLimits::trialSuccesses_ of them in a row. A failure during the trial ejects it again,
+/// for a longer time.
+///
+/// Invariant: every ejection ends without further input, so no server is excluded permanently.
 /// @see choosePlacement
 class ServerHealth
 {
 public:
     enum class State : std::uint8_t {
-        Good,    ///< Gets work by its load and latency.
-        Ejected, ///< Gets no work while there is another server.
+        Good,    ///< Gets requests according to its load and latency.
+        Ejected, ///< Gets no requests while another server is available.
         Trial,   ///< Gets one request at a time.
     };
 
     explicit ServerHealth(EjectionLimits limits = {});
 
     State state(TimePoint now) const;
-    /// When a held server may be tried again.
+    /// End of the current or last ejection.
     TimePoint ejectedUntil() const { return ejectedUntil_; }
 
-    /// When the current hold began.
+    /// Start of the current or last ejection.
     TimePoint ejectedSince() const { return ejectedSince_; }
 
-    /// Takes the end of a request that took @p took. True if this began or prolonged a hold.
-    bool record(AttemptResult result, Duration took, bool isRepeatable, TimePoint now);
+    /// Records the result of a request that ended at @p now after @p latency. Returns true if this
+    /// starts an ejection or restarts the current one.
+    bool record(AttemptResult result, Duration latency, bool isRepeatable, TimePoint now);
 
-    /// Takes the word of another instance that the server fails. Not prolonged by repeats.
-    void applyReportedEjection(Duration hold, TimePoint now);
-    /// Takes the word of another instance that the server answers again.
+    /// Ejects the server because another instance reported an ejection that ends @p remaining after
+    /// @p now. Repeated reports of one ejection do not prolong it.
+    void applyReportedEjection(Duration remaining, TimePoint now);
+    /// Ends the ejection or trial because another instance reported that the server answers again.
     void applyReportedRecovery(TimePoint now);
 
-    /// The mean time of recent answers in relation to @p expected; 1 with no answer yet.
+    /// Mean latency of recent answers divided by @p expected; 1 before the first answer.
     double relativeLatency(Duration expected) const;
 
-    /// Failures weighed by how rare they are at a sound server; halved by each answer.
+    /// Sum of recent failures, weighted by how rare they are on a healthy server. Each answer
+    /// halves it.
     double failureScore() const { return failureScore_; }
 
 private:
-    void hold(bool isCostly, TimePoint now);
+    void eject(bool isTrialCostly, TimePoint now);
 
     EjectionLimits limits_;
     double failureScore_ = 0.0;
-    TimePoint ejectedUntil_{}; ///< In the past: not held.
+    TimePoint ejectedUntil_{}; ///< In the past: not ejected.
     TimePoint ejectedSince_{};
-    Duration nextHold_{ 0 };    ///< Of the next failure; zero: the first hold.
-    int trialsLeft_ = 0;        ///< Above zero: held or on trial.
-    Duration meanLatency_{ 0 }; ///< Zero: no answer yet.
-    Duration quickest_{ 0 };    ///< Of the answers, rising slowly; zero: no answer yet.
+    Duration nextEjectionTime_{ 0 }; ///< Zero: the next ejection is the first.
+    int trialsLeft_ = 0;             ///< Above zero: ejected or on trial.
+    Duration meanLatency_{ 0 };      ///< Zero: no answer yet.
+    Duration minLatency_{ 0 };       ///< Rises slowly; zero: no answer yet.
 };
 
 } // namespace qz
--- a/packages/qz_placement/health/servicelatency.cpp
+++ b/packages/qz_placement/health/servicelatency.cpp
@@ -1,4 +1,4 @@
-// Running estimates of answer times.
+// Updates running estimates of a service's latency.
 #include "qz_placement/health/servicelatency.h"
 
 #include <algorithm>
@@ -8,19 +8,22 @@
 
 namespace {
 
+/// Weight of a new answer in the mean.
 constexpr double meanGain = 0.05;
-/// Steps of the quantile estimate, as parts of the mean; their ratio sets the quantile.
-constexpr double highStepUp = 0.45;
-constexpr double highStepDown = 0.05;
-constexpr int enoughAnswers = 10;
-/// How long the lowest mean counts, at least. Longer than a flood, shorter than the hours over
-/// which the work itself changes.
-constexpr Duration lowestPeriod = std::chrono::minutes(2);
-/// Of the lowest mean. The mean of answers that do not wait stays within about a quarter of it.
-constexpr double crowdedFactor = 1.5;
-/// Of the target time, as long as there were too few answers.
+/// Steps of the percentile estimate, as fractions of the mean. Their ratio of 9 to 1 makes it
+/// converge on the 90th percentile.
+constexpr double percentileStepUp = 0.45;
+constexpr double percentileStepDown = 0.05;
+constexpr int minAnswers = 10;
+/// Minimum time for which a lowest mean is kept. Longer than a flood, and shorter than the hours in
+/// which the work of the requests changes.
+constexpr Duration minMeanPeriod = std::chrono::minutes(2);
+/// Ratio of the mean to the lowest mean above which the service is congested. Without queueing,
+/// the mean stays within about 25 % of the lowest mean.
+constexpr double congestionFactor = 1.5;
+/// Estimates with too few answers, as fractions of the target time.
 constexpr double assumedMean = 0.35;
-constexpr double assumedHigh = 0.7;
+constexpr double assumedPercentile90 = 0.7;
 
 Duration scaled(Duration duration, double factor)
 {
@@ -29,37 +32,38 @@
 
 } // namespace
 
-void ServiceLatency::record(Duration took, TimePoint now)
+void ServiceLatency::record(Duration latency, TimePoint now)
 {
     if (count_ == 0) {
-        mean_ = took;
-        high_ = took * 2;
+        mean_ = latency;
+        percentile90_ = latency * 2;
     }
     ++count_;
     const double gain = std::max(meanGain, 1.0 / count_);
-    mean_ += scaled(took - mean_, gain);
-    high_ += took > high_ ? scaled(mean_, highStepUp) : -scaled(mean_, highStepDown);
-    high_ = std::max(high_, mean_);
+    mean_ += scaled(latency - mean_, gain);
+    percentile90_ += latency > percentile90_ ? scaled(mean_, percentileStepUp)
+                                             : -scaled(mean_, percentileStepDown);
+    percentile90_ = std::max(percentile90_, mean_);
     if (!hasEnoughSamples()) {
         return;
     }
-    if (now - periodStart_ > lowestPeriod) {
-        lowestBefore_ = std::exchange(lowest_, mean_);
+    if (now - periodStart_ > minMeanPeriod) {
+        previousMinMean_ = std::exchange(minMean_, mean_);
         periodStart_ = now;
     }
-    lowest_ = std::min(lowest_, mean_);
+    minMean_ = std::min(minMean_, mean_);
 }
 
 bool ServiceLatency::isCongested() const
 {
-    const Duration lowest =
-            lowestBefore_ == Duration::zero() ? lowest_ : std::min(lowest_, lowestBefore_);
-    return hasEnoughSamples() && mean_ > scaled(lowest, crowdedFactor);
+    const Duration lowestMean =
+            previousMinMean_ == Duration::zero() ? minMean_ : std::min(minMean_, previousMinMean_);
+    return hasEnoughSamples() && mean_ > scaled(lowestMean, congestionFactor);
 }
 
 bool ServiceLatency::hasEnoughSamples() const
 {
-    return count_ >= enoughAnswers;
+    return count_ >= minAnswers;
 }
 
 Duration ServiceLatency::mean(Duration target) const
@@ -69,7 +73,7 @@
 
 Duration ServiceLatency::percentile90(Duration target) const
 {
-    return hasEnoughSamples() ? high_ : scaled(target, assumedHigh);
+    return hasEnoughSamples() ? percentile90_ : scaled(target, assumedPercentile90);
 }
 
 } // namespace qz
--- a/packages/qz_placement/health/servicelatency.h
+++ b/packages/qz_placement/health/servicelatency.h
@@ -1,36 +1,36 @@
-// How long the requests of a service take.
+// Estimates the latency of a service.
 #pragma once
 
 #include "qz_core/time/clock.h"
 
 namespace qz {
 
-/// The mean and a high quantile of the answer times of a service's servers together. Until
-/// there were answers both come from the target time of its requests.
+/// Estimates the mean and the 90th percentile of the answer times of all servers of a service. With
+/// too few answers, both are fractions of the requests' target time.
 class ServiceLatency
 {
 public:
-    void record(Duration took, TimePoint now);
+    void record(Duration latency, TimePoint now);
 
-    /// There were enough answers to tell.
+    /// Whether there were enough answers for an estimate.
     bool hasEnoughSamples() const;
 
-    /// Mean time of an answer; @p target is that of the request that asks.
+    /// Returns the mean latency. @p target is the target time of the request to place.
     Duration mean(Duration target) const;
 
-    /// A time that about nine in ten answers do not exceed.
+    /// Returns the latency that about 90 % of the answers do not exceed.
     Duration percentile90(Duration target) const;
 
-    /// Answers take much longer than they did within the last minutes: requests wait for the
-    /// servers in use.
+    /// Whether the mean latency is much higher than its minimum over the last minutes, which shows
+    /// that requests queue at the servers in use.
     bool isCongested() const;
 
 private:
     Duration mean_{ 0 }; ///< Zero: no answer yet.
-    Duration high_{ 0 };
-    /// The lowest mean of the current period and of the one before; zero: none yet.
-    Duration lowest_{ 0 };
-    Duration lowestBefore_{ 0 };
+    Duration percentile90_{ 0 };
+    /// Minimum of the mean in the current period and in the previous one; zero: none yet.
+    Duration minMean_{ 0 };
+    Duration previousMinMean_{ 0 };
     TimePoint periodStart_{};
     int count_ = 0;
 };
--- a/packages/qz_placement/qz_placement.h
+++ b/packages/qz_placement/qz_placement.h
@@ -1,5 +1,5 @@
-// The package qz_placement: where a request is placed, when it is tried again and when it is
-// refused. Decisions only: time comes in as an argument, and nothing here does I/O.
+// The package qz_placement: chooses the backend server for a request, tracks the health of servers
+// and limits retries. Decisions only: time is passed as an argument, and nothing here does I/O.
 #pragma once
 
 #include "qz_placement/choice/placement.h"
--- a/packages/qz_placement/retries/retryallowance.cpp
+++ b/packages/qz_placement/retries/retryallowance.cpp
@@ -1,12 +1,13 @@
-// A sliding window of requests and second tries.
+// Counts requests and retries in a sliding window.
 #include "qz_placement/retries/retryallowance.h"
 
 namespace qz {
 
 namespace {
 
-/// Left unused, since a window at a server begins later than one here.
-constexpr double usedPart = 0.85;
+/// Fraction of the budget that may be spent. The rest is a reserve, since the same window starts
+/// later at a backend server than here.
+constexpr double spendableFraction = 0.85;
 
 } // namespace
 
@@ -18,13 +19,13 @@
 
 void RetryAllowance::countRequest(TimePoint now)
 {
-    forget(now);
+    removeExpired(now);
     requests_.push_back(now);
 }
 
 bool RetryAllowance::tryAcquire(TimePoint now)
 {
-    forget(now);
+    removeExpired(now);
     if (static_cast<double>(retries_.size()) + 1.0 > allowed()) {
         return false;
     }
@@ -34,18 +35,18 @@
 
 double RetryAllowance::usedShare(TimePoint now)
 {
-    forget(now);
+    removeExpired(now);
     return allowed() < 1.0 ? 1.0 : static_cast<double>(retries_.size()) / allowed();
 }
 
 double RetryAllowance::allowed() const
 {
-    return usedPart
+    return spendableFraction
             * (limits_.ratio_ * static_cast<double>(requests_.size())
                + limits_.slack_ * slackPart_);
 }
 
-void RetryAllowance::forget(TimePoint now)
+void RetryAllowance::removeExpired(TimePoint now)
 {
     while (!requests_.empty() && now - requests_.front() > limits_.window_) {
         requests_.pop_front();
--- a/packages/qz_placement/retries/retryallowance.h
+++ b/packages/qz_placement/retries/retryallowance.h
@@ -1,4 +1,4 @@
-// How many second tries an instance may send to a service.
+// Limits the retries that an instance sends to a service.
 #pragma once
 
 #include "qz_core/time/clock.h"
@@ -7,43 +7,45 @@
 
 namespace qz {
 
-/// The budget of a service, for all instances together.
+/// Retry budget of a service over all instances.
 struct RetryBudgetLimits
 {
-    double ratio_ = 0.2;                         ///< Second tries for each request.
-    double slack_ = 0.0;                         ///< Second tries on top, in each window.
-    Duration window_ = std::chrono::seconds(10); ///< Slides.
+    double ratio_ = 0.2;                         ///< Retries per request.
+    double slack_ = 0.0;                         ///< Additional retries in each window.
+    Duration window_ = std::chrono::seconds(10); ///< Length of the sliding window.
 };
 
-/// Load pattern: failures of many servers at once would double the load by second tries.
-/// Each instance keeps to the ratio for its own requests and to its part of the slack, so
-/// the sum over all instances holds without a message between them.
+/// This instance's share of the retry budget of one service. Without a limit, retries would double
+/// the load when many servers fail at once. Each instance applies the ratio to its own requests and
+/// keeps to its share of the slack, so the budget of all instances holds without communication
+/// between them.
 ///
-/// Invariant: in no window does the instance send more second tries than this allows.
+/// Invariant: the retries of this instance in any window do not exceed its share of the budget.
 class RetryAllowance
 {
 public:
-    /// @p slackPart is this instance's part of the slack, 0 to 1.
+    /// @p slackPart is this instance's share of the slack, 0 to 1.
     RetryAllowance(RetryBudgetLimits limits, double slackPart);
 
     void setSlackPart(double slackPart) { slackPart_ = slackPart; }
 
     void countRequest(TimePoint now);
 
-    /// Counts a second try if it is allowed; false if it must not be sent.
+    /// Returns whether a retry may be sent, and counts it in that case.
     bool tryAcquire(TimePoint now);
 
-    /// The part of the allowance that is used, 0 to 1; 1 where nothing is allowed.
+    /// Returns the number of counted retries divided by the number allowed, or 1 if less than one
+    /// is allowed.
     double usedShare(TimePoint now);
 
 private:
-    void forget(TimePoint now);
+    void removeExpired(TimePoint now);
     double allowed() const;
 
     RetryBudgetLimits limits_;
     double slackPart_;
-    std::deque<TimePoint> requests_; ///< Of the last window.
-    std::deque<TimePoint> retries_;  ///< Of the last window.
+    std::deque<TimePoint> requests_; ///< In the current window.
+    std::deque<TimePoint> retries_;  ///< In the current window.
 };
 
 } // namespace qz
--- a/packages/qz_placement/tests/placementtest.cpp
+++ b/packages/qz_placement/tests/placementtest.cpp
@@ -1,5 +1,5 @@
-// Tests of single decisions: where a request goes, when a server is held, when a second try
-// may be sent.
+// Tests of single decisions: which server a request is sent to, when a server is ejected, and when
+// a retry may be sent.
 #include "qz_placement/qz_placement.h"
 
 #include <boost/test/unit_test.hpp>
@@ -41,15 +41,15 @@
     return placement->index_;
 }
 
-/// A server that failed at @p at.
-ServerHealth makeHeld(qz::TimePoint at, bool isRepeatable = true)
+/// The health of a server that was ejected at @p at.
+ServerHealth makeEjected(qz::TimePoint at, bool isRepeatable = true)
 {
     ServerHealth health;
     health.record(AttemptResult::Cut, 1ms, isRepeatable, at);
     return health;
 }
 
-qz::PlacementCandidate makeHeldCandidate(const ServerHealth &health, qz::TimePoint now)
+qz::PlacementCandidate makeEjectedCandidate(const ServerHealth &health, qz::TimePoint now)
 {
     auto candidate = makeCandidate(Distance::SameDomain, 0);
     candidate.state_ = health.state(now);
@@ -60,7 +60,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(workStaysInItsDomainUntilItWouldWaitLongerThanDistanceCosts)
+BOOST_AUTO_TEST_CASE(prefersItsOwnDomainUntilQueueingCostsMoreThanDistance)
 {
     BOOST_TEST(choose({ makeCandidate(Distance::SameRegion, 0),
                         makeCandidate(Distance::SameDomain, 1) })
@@ -73,7 +73,7 @@
                == 1);
 }
 
-BOOST_AUTO_TEST_CASE(workStaysWithOwnedServersUntilItWouldWaitThere)
+BOOST_AUTO_TEST_CASE(prefersOwnedServersUntilRequestsQueueThere)
 {
     auto other = makeCandidate(Distance::SameDomain, 0);
     other.serverRole_ = ServerRole::None;
@@ -81,7 +81,7 @@
     BOOST_TEST(choose({ other, makeCandidate(Distance::SameDomain, 2) }) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(aRequestThatNoServerCanAnswerInTimeIsNotPlaced)
+BOOST_AUTO_TEST_CASE(choosesNoServerIfNoneCanAnswerInTime)
 {
     auto request = makeRequest();
     request.timeLeft_ = 100ms;
@@ -91,14 +91,14 @@
                                 start));
 }
 
-BOOST_AUTO_TEST_CASE(aServerOnWhichARequestWaitsLongIsTakenForSlow)
+BOOST_AUTO_TEST_CASE(treatsAServerWithALongUnansweredRequestAsSlow)
 {
-    auto stuck = makeCandidate(Distance::SameDomain, 1);
-    stuck.oldestRequestAge_ = 900ms;
-    BOOST_TEST(choose({ stuck, makeCandidate(Distance::SameDomain, 1) }) == 1);
+    auto slow = makeCandidate(Distance::SameDomain, 1);
+    slow.oldestRequestAge_ = 900ms;
+    BOOST_TEST(choose({ slow, makeCandidate(Distance::SameDomain, 1) }) == 1);
 }
 
-BOOST_AUTO_TEST_CASE(aResetAtOnceHoldsAServerAndOneInPlaceOfAnAnswerDoesNot)
+BOOST_AUTO_TEST_CASE(anImmediateResetEjectsAServerButALateResetDoesNot)
 {
     ServerHealth health;
     BOOST_TEST(!health.record(AttemptResult::Answered, 200ms, false, start));
@@ -108,7 +108,7 @@
     BOOST_CHECK(health.state(start) == ServerHealth::State::Ejected);
 }
 
-BOOST_AUTO_TEST_CASE(aLostAnswerIsNotTakenForARefusalWhereAnswersWaitInAQueue)
+BOOST_AUTO_TEST_CASE(queuedAnswersDoNotMakeALateResetCountAsImmediate)
 {
     ServerHealth health;
     for (int i = 0; i < 20; ++i) {
@@ -119,7 +119,7 @@
     BOOST_TEST(health.record(AttemptResult::Cut, 2ms, false, start));
 }
 
-BOOST_AUTO_TEST_CASE(aRareServerErrorHoldsNobodyAndTwoInARowDo)
+BOOST_AUTO_TEST_CASE(twoConsecutiveServerErrorsEjectAServerButRareOnesDoNot)
 {
     ServerHealth health;
     for (int i = 0; i < 49; ++i) {
@@ -130,7 +130,7 @@
     BOOST_TEST(health.record(AttemptResult::ServerError, 200ms, true, start));
 }
 
-BOOST_AUTO_TEST_CASE(requestsThatFailTogetherAreOneFailure)
+BOOST_AUTO_TEST_CASE(concurrentFailuresCountAsOne)
 {
     ServerHealth health;
     health.record(AttemptResult::Cut, 1ms, true, start);
@@ -139,9 +139,9 @@
     BOOST_CHECK(health.ejectedUntil() == until);
 }
 
-BOOST_AUTO_TEST_CASE(aFailedTrialWithinAHoldProlongsIt)
+BOOST_AUTO_TEST_CASE(aFailedEarlyTrialRestartsTheEjection)
 {
-    ServerHealth health = makeHeld(start, false);
+    ServerHealth health = makeEjected(start, false);
     const auto until = health.ejectedUntil();
     const auto now = start + 3s;
     BOOST_TEST(health.record(AttemptResult::Cut, 1ms, false, now));
@@ -149,9 +149,9 @@
     BOOST_CHECK(health.ejectedUntil() > until);
 }
 
-BOOST_AUTO_TEST_CASE(holdsGrowWithFailedTrialsAndEndAfterTwoAnswers)
+BOOST_AUTO_TEST_CASE(ejectionsGrowWithFailedTrialsAndEndAfterTwoAnswers)
 {
-    ServerHealth health = makeHeld(start);
+    ServerHealth health = makeEjected(start);
     qz::TimePoint now = health.ejectedUntil();
     BOOST_CHECK(health.state(now) == ServerHealth::State::Trial);
     BOOST_TEST(health.record(AttemptResult::Cut, 1ms, true, now));
@@ -168,9 +168,9 @@
                 <= qz::EjectionLimits().maxEjectionTime_);
 }
 
-BOOST_AUTO_TEST_CASE(aTrialWithinAHoldEndsItWithTwoAnswersToRequestsOfTheTrial)
+BOOST_AUTO_TEST_CASE(twoAnswersToAnEarlyTrialEndTheEjection)
 {
-    ServerHealth health = makeHeld(start, false);
+    ServerHealth health = makeEjected(start, false);
     const auto now = start + 3s;
     health.record(AttemptResult::Answered, 4s, false, now);
     health.record(AttemptResult::Answered, 4s, false, now);
@@ -180,77 +180,79 @@
     BOOST_CHECK(health.state(now) == ServerHealth::State::Good);
 }
 
-BOOST_AUTO_TEST_CASE(aTrialThatCostsARequestComesLaterUnlessTheServerIsNeeded)
+BOOST_AUTO_TEST_CASE(aNonRepeatableTrialIsSentLaterUnlessTheServerIsNeeded)
 {
-    const ServerHealth health = makeHeld(start, false);
+    const ServerHealth health = makeEjected(start, false);
     const auto good = makeCandidate(Distance::SameDomain, 0);
     auto busy = good;
     busy.inFlight_ = 2;
     const auto now = start + 3s;
-    BOOST_TEST(choose({ makeHeldCandidate(health, now), good }, makeRequest(), now) == 1);
-    BOOST_TEST(choose({ makeHeldCandidate(health, now), busy }, makeRequest(), now) == 0);
-    auto crowded = makeRequest();
-    crowded.isCongested_ = true;
-    BOOST_TEST(choose({ makeHeldCandidate(health, now), good }, crowded, now) == 0);
+    BOOST_TEST(choose({ makeEjectedCandidate(health, now), good }, makeRequest(), now) == 1);
+    BOOST_TEST(choose({ makeEjectedCandidate(health, now), busy }, makeRequest(), now) == 0);
+    auto congested = makeRequest();
+    congested.isCongested_ = true;
+    BOOST_TEST(choose({ makeEjectedCandidate(health, now), good }, congested, now) == 0);
     const auto later = start + qz::EjectionLimits().nonRepeatableBaseEjectionTime_;
-    BOOST_TEST(choose({ makeHeldCandidate(health, later), good }, makeRequest(), later) == 0);
+    BOOST_TEST(choose({ makeEjectedCandidate(health, later), good }, makeRequest(), later) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(onlyTheOwnerTriesAHeldServerSoon)
+BOOST_AUTO_TEST_CASE(onlyTheOwnerSendsATrialAtTheEndOfTheEjection)
 {
-    const ServerHealth health = makeHeld(start);
+    const ServerHealth health = makeEjected(start);
     const auto now = health.ejectedUntil() + 10ms;
-    auto held = makeHeldCandidate(health, now);
-    held.serverRole_ = ServerRole::None;
-    BOOST_TEST(choose({ held, makeCandidate(Distance::SameDomain, 0) }, makeRequest(), now) == 1);
+    auto ejected = makeEjectedCandidate(health, now);
+    ejected.serverRole_ = ServerRole::None;
+    BOOST_TEST(choose({ ejected, makeCandidate(Distance::SameDomain, 0) }, makeRequest(), now)
+               == 1);
     const auto later = health.ejectedUntil() + qz::PlacementSettings().nonOwnerTrialDelay_;
-    BOOST_TEST(choose({ held, makeCandidate(Distance::SameDomain, 0) }, makeRequest(), later) == 0);
+    BOOST_TEST(choose({ ejected, makeCandidate(Distance::SameDomain, 0) }, makeRequest(), later)
+               == 0);
 }
 
-BOOST_AUTO_TEST_CASE(whereAllServersAreHeldTheOneWhoseHoldEndsFirstIsTaken)
+BOOST_AUTO_TEST_CASE(ifAllServersAreEjectedChoosesTheOneWhoseEjectionEndsFirst)
 {
-    const ServerHealth first = makeHeld(start);
-    const ServerHealth second = makeHeld(start + 500ms);
+    const ServerHealth first = makeEjected(start);
+    const ServerHealth second = makeEjected(start + 500ms);
     const auto now = start + 600ms;
-    BOOST_TEST(choose({ makeHeldCandidate(second, now), makeHeldCandidate(first, now) },
+    BOOST_TEST(choose({ makeEjectedCandidate(second, now), makeEjectedCandidate(first, now) },
                       makeRequest(), now)
                == 1);
 }
 
-BOOST_AUTO_TEST_CASE(whileManyFailIdleServersGetWorkAndHoldsGiveWay)
+BOOST_AUTO_TEST_CASE(whileManyRequestsFailIdleServersAndEarlyTrialsAreUsed)
 {
     auto idle = makeCandidate(Distance::SameDomain, 0);
     idle.relativeLatency_ = 1.5;
     idle.serverRole_ = ServerRole::Backup;
-    auto usedShare = makeCandidate(Distance::SameDomain, 0);
+    auto active = makeCandidate(Distance::SameDomain, 0);
     const auto now = start + 3s;
-    usedShare.lastSent_ = now;
+    active.lastSent_ = now;
     auto request = makeRequest();
-    BOOST_TEST(choose({ idle, usedShare }, request, now) == 1);
+    BOOST_TEST(choose({ idle, active }, request, now) == 1);
     request.shouldSpread_ = true;
-    BOOST_TEST(choose({ idle, usedShare }, request, now) == 0);
+    BOOST_TEST(choose({ idle, active }, request, now) == 0);
     request.shouldSpread_ = false;
     idle.serverRole_ = ServerRole::Owner;
-    BOOST_TEST(choose({ idle, usedShare }, request, now) == 0);
+    BOOST_TEST(choose({ idle, active }, request, now) == 0);
     idle.serverRole_ = ServerRole::Backup;
     request.shouldSpread_ = true;
-    const ServerHealth held = makeHeld(start, false);
+    const ServerHealth ejected = makeEjected(start, false);
     idle.lastSent_ = now;
-    BOOST_TEST(choose({ makeHeldCandidate(held, now), idle, usedShare }, request, now) == 0);
+    BOOST_TEST(choose({ makeEjectedCandidate(ejected, now), idle, active }, request, now) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(whileManyFailTheLongestHeldServersAreTriedUntilFewAreLeftOut)
+BOOST_AUTO_TEST_CASE(whileManyRequestsFailTrialsLimitTheShareOfEjectedServers)
 {
-    // Only a part of a service's servers may be free of disruption; of those, more can be held
-    // than of all of them, so the limit is half of what the floor leaves.
-    const ServerHealth first = makeHeld(start, false);
-    const ServerHealth second = makeHeld(start + 100ms, false);
+    // The floor counts only the servers without a disruption. The ejected share of these can be
+    // higher than that of all servers, so the limit is half of what the floor allows.
+    const ServerHealth first = makeEjected(start, false);
+    const ServerHealth second = makeEjected(start + 100ms, false);
     const auto now = start + 100ms + qz::PlacementSettings().ownerEarlyTrialDelay_;
     auto good = makeCandidate(Distance::SameDomain, 0);
     good.lastSent_ = now;
     std::vector<qz::PlacementCandidate> candidates(8, good);
-    candidates.push_back(makeHeldCandidate(second, now));
-    candidates.push_back(makeHeldCandidate(first, now));
+    candidates.push_back(makeEjectedCandidate(second, now));
+    candidates.push_back(makeEjectedCandidate(first, now));
     auto request = makeRequest();
     BOOST_TEST(choose(candidates, request, now) < 8);
     request.shouldSpread_ = true;
@@ -259,36 +261,36 @@
     BOOST_TEST(choose(candidates, request, now) < 8);
 }
 
-BOOST_AUTO_TEST_CASE(whileManyFailTheDeputyTriesAHeldServerThatItsOwnerDoesNot)
+BOOST_AUTO_TEST_CASE(whileManyRequestsFailTheBackupSendsATrialIfTheOwnerDoesNot)
 {
-    const ServerHealth health = makeHeld(start, false);
+    const ServerHealth health = makeEjected(start, false);
     auto good = makeCandidate(Distance::SameDomain, 0);
     auto request = makeRequest();
     request.shouldSpread_ = true;
-    const auto chooseAt = [&](qz::TimePoint now, ServerRole duty) {
-        auto held = makeHeldCandidate(health, now);
-        held.serverRole_ = duty;
-        held.distance_ = Distance::OtherRegion;
+    const auto chooseAt = [&](qz::TimePoint now, ServerRole role) {
+        auto ejected = makeEjectedCandidate(health, now);
+        ejected.serverRole_ = role;
+        ejected.distance_ = Distance::OtherRegion;
         good.lastSent_ = now;
-        return choose({ good, held }, request, now);
+        return choose({ good, ejected }, request, now);
     };
-    const auto deputyTime = start + qz::PlacementSettings().backupEarlyTrialDelay_;
+    const auto backupTime = start + qz::PlacementSettings().backupEarlyTrialDelay_;
     BOOST_TEST(chooseAt(start + qz::PlacementSettings().ownerEarlyTrialDelay_, ServerRole::Backup)
                == 0);
-    BOOST_TEST(chooseAt(deputyTime, ServerRole::Backup) == 1);
-    BOOST_TEST(chooseAt(deputyTime, ServerRole::None) == 0);
+    BOOST_TEST(chooseAt(backupTime, ServerRole::Backup) == 1);
+    BOOST_TEST(chooseAt(backupTime, ServerRole::None) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(aNoteOfAFailureWithinAHoldStartsItAnew)
+BOOST_AUTO_TEST_CASE(aReportedEjectionRestartsTheCurrentOne)
 {
-    ServerHealth health = makeHeld(start, false);
+    ServerHealth health = makeEjected(start, false);
     const auto now = start + 2s;
     health.applyReportedEjection(6s, now);
     BOOST_CHECK(health.ejectedSince() == now);
     BOOST_CHECK(health.ejectedUntil() == now + 6s);
 }
 
-BOOST_AUTO_TEST_CASE(failuresOfTheWaySayNothingToOthers)
+BOOST_AUTO_TEST_CASE(failuresOfTheNetworkPathAreNotServerFaults)
 {
     BOOST_TEST(qz::isServerFault(AttemptResult::Cut));
     BOOST_TEST(qz::isServerFault(AttemptResult::ServerError));
@@ -298,7 +300,7 @@
     BOOST_TEST(!qz::isServerFault(AttemptResult::Shed));
 }
 
-BOOST_AUTO_TEST_CASE(theRetryBudgetOfAllInstancesHoldsInEachWindow)
+BOOST_AUTO_TEST_CASE(allInstancesTogetherKeepToTheRetryBudgetInEachWindow)
 {
     qz::RetryBudgetLimits limits;
     limits.ratio_ = 0.2;
@@ -309,7 +311,8 @@
     std::vector<qz::TimePoint> retries;
     std::vector<qz::TimePoint> requests;
     for (qz::TimePoint now = start; now < start + 60s; now += 50ms) {
-        // A pause in the requests is the hardest case: the ratio shrinks, the slack does not.
+        // A pause in the requests is the worst case: fewer requests reduce the retries that the
+        // ratio allows, but not the slack.
         const bool isBusy = (now - start) % 20s < 8s;
         for (auto &allowance : allowances) {
             if (isBusy) {
@@ -327,14 +330,14 @@
                 return time >= from && time < from + limits.window_;
             });
         };
-        const auto most = std::max({ countIn(requests, begin), countIn(requests, begin - 5s),
-                                     countIn(requests, begin - 10s) });
-        BOOST_TEST(countIn(retries, begin) <= limits.ratio_ * most + limits.slack_);
+        const auto maxRequests = std::max({ countIn(requests, begin), countIn(requests, begin - 5s),
+                                            countIn(requests, begin - 10s) });
+        BOOST_TEST(countIn(retries, begin) <= limits.ratio_ * maxRequests + limits.slack_);
     }
     BOOST_TEST(!retries.empty());
 }
 
-BOOST_AUTO_TEST_CASE(anInstanceWithoutAPartOfTheSlackSendsNoSecondTriesOfItsOwn)
+BOOST_AUTO_TEST_CASE(withoutRequestsOrASlackShareNoRetryIsAllowed)
 {
     qz::RetryBudgetLimits limits;
     limits.slack_ = 56.0;
@@ -343,32 +346,32 @@
     BOOST_TEST(allowance.usedShare(start) == 1.0);
 }
 
-BOOST_AUTO_TEST_CASE(theUnservedShareForgetsAndNeedsEnoughRequests)
+BOOST_AUTO_TEST_CASE(theFailureRateExpiresAndNeedsEnoughRequests)
 {
-    qz::FailureRateTracker share;
+    qz::FailureRateTracker tracker;
     for (int i = 0; i < 11; ++i) {
-        share.record(false, start);
+        tracker.record(false, start);
     }
-    BOOST_TEST(share.failureRate(start) == 0.0);
+    BOOST_TEST(tracker.failureRate(start) == 0.0);
     for (int i = 0; i < 9; ++i) {
-        share.record(true, start);
+        tracker.record(true, start);
     }
-    BOOST_TEST(share.failureRate(start) == 11.0 / 20.0);
-    BOOST_TEST(share.failureRate(start + 4s) == 0.0);
+    BOOST_TEST(tracker.failureRate(start) == 11.0 / 20.0);
+    BOOST_TEST(tracker.failureRate(start + 4s) == 0.0);
 }
 
-BOOST_AUTO_TEST_CASE(aSuddenRiseOfFailuresShowsWithinASecond)
+BOOST_AUTO_TEST_CASE(aSuddenRiseOfTheFailureRateShowsWithinOneSecond)
 {
-    qz::FailureRateTracker share;
+    qz::FailureRateTracker tracker;
     auto now = start;
     for (int i = 0; i < 90; ++i, now += 33ms) {
-        share.record(true, now);
+        tracker.record(true, now);
     }
-    BOOST_TEST(share.failureRate(now) == 0.0);
+    BOOST_TEST(tracker.failureRate(now) == 0.0);
     for (int i = 0; i < 24; ++i, now += 33ms) {
-        share.record(i % 5 != 0, now);
+        tracker.record(i % 5 != 0, now);
     }
-    BOOST_TEST(share.failureRate(now) > qz::spreadFailureRate);
+    BOOST_TEST(tracker.failureRate(now) > qz::spreadFailureRate);
 }
 
 BOOST_AUTO_TEST_CASE(latencyEstimatesFollowTheAnswers)
@@ -385,7 +388,7 @@
         latency.record(500ms, start + 30s);
     }
     BOOST_TEST(latency.isCongested());
-    // What lasts is not a flood.
+    // A lasting rise of the latency is not congestion.
     for (int i = 0; i < 40; ++i) {
         latency.record(500ms, start + 3min);
     }
--- a/packages/qz_placement/tests/serverrolestest.cpp
+++ b/packages/qz_placement/tests/serverrolestest.cpp
@@ -1,4 +1,4 @@
-// Tests of how duties for servers are dealt out.
+// Tests of the assignment of owners and backups to servers.
 #include "qz_placement/choice/serverroles.h"
 
 #include <boost/test/unit_test.hpp>
@@ -12,7 +12,7 @@
     return { qz::RegionId(region), qz::FailureDomainId(domain) };
 }
 
-/// Two instances in each of four domains, two of a region.
+/// Returns two instances in each of four domains. Each region has two domains.
 std::vector<qz::RoleCandidate> makeCandidates()
 {
     std::vector<qz::RoleCandidate> candidates;
@@ -25,53 +25,53 @@
     return candidates;
 }
 
-/// The instances with @p duty for a server of domain a1.
-std::vector<std::string> holdersOf(ServerRole duty, const std::string &server,
-                                   const std::vector<qz::RoleCandidate> &candidates)
+/// Returns the instances with @p role for a server of domain a1.
+std::vector<std::string> instancesWith(ServerRole role, const std::string &server,
+                                       const std::vector<qz::RoleCandidate> &candidates)
 {
-    std::vector<std::string> holders;
+    std::vector<std::string> instances;
     for (const auto &candidate : makeCandidates()) {
-        qz::ServerRoles duties(candidate.id_);
-        duties.setCandidates(candidates);
-        if (duties.find(qz::BackendServerId(server), makeLocation("a", "a1")) == duty) {
-            holders.push_back(candidate.id_.value());
+        qz::ServerRoles roles(candidate.id_);
+        roles.setCandidates(candidates);
+        if (roles.find(qz::BackendServerId(server), makeLocation("a", "a1")) == role) {
+            instances.push_back(candidate.id_.value());
         }
     }
-    return holders;
+    return instances;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(eachServerHasOneOwnerOfItsDomainAndOneDeputyOfItsRegion)
+BOOST_AUTO_TEST_CASE(eachServerHasAnOwnerInItsDomainAndABackupInItsRegion)
 {
     for (int i = 0; i < 50; ++i) {
         const std::string server = "s" + std::to_string(i);
-        const auto owners = holdersOf(ServerRole::Owner, server, makeCandidates());
-        const auto deputies = holdersOf(ServerRole::Backup, server, makeCandidates());
+        const auto owners = instancesWith(ServerRole::Owner, server, makeCandidates());
+        const auto backups = instancesWith(ServerRole::Backup, server, makeCandidates());
         BOOST_REQUIRE(owners.size() == 1);
-        BOOST_REQUIRE(deputies.size() == 1);
+        BOOST_REQUIRE(backups.size() == 1);
         BOOST_TEST(owners[0].substr(0, 2) == "a1");
-        BOOST_TEST(deputies[0].substr(0, 2) == "a2");
+        BOOST_TEST(backups[0].substr(0, 2) == "a2");
     }
 }
 
-BOOST_AUTO_TEST_CASE(aDomainWithoutInstancesLeavesItsServersToADeputyOfAnotherRegionIfNeedBe)
+BOOST_AUTO_TEST_CASE(withoutInstancesInTheRegionTheBackupIsInAnotherRegion)
 {
     auto candidates = makeCandidates();
     candidates.erase(candidates.begin(), candidates.begin() + 4);
-    BOOST_TEST(holdersOf(ServerRole::Owner, "s", candidates).empty());
-    const auto deputies = holdersOf(ServerRole::Backup, "s", candidates);
-    BOOST_REQUIRE(deputies.size() == 1);
-    BOOST_TEST(deputies[0].substr(0, 1) == "b");
+    BOOST_TEST(instancesWith(ServerRole::Owner, "s", candidates).empty());
+    const auto backups = instancesWith(ServerRole::Backup, "s", candidates);
+    BOOST_REQUIRE(backups.size() == 1);
+    BOOST_TEST(backups[0].substr(0, 1) == "b");
 }
 
-BOOST_AUTO_TEST_CASE(dutiesFollowTheInstances)
+BOOST_AUTO_TEST_CASE(rolesFollowTheInstances)
 {
-    const auto owners = holdersOf(ServerRole::Owner, "s", makeCandidates());
-    qz::ServerRoles duties{ qz::InstanceId(owners.at(0)) };
+    const auto owners = instancesWith(ServerRole::Owner, "s", makeCandidates());
+    qz::ServerRoles roles{ qz::InstanceId(owners.at(0)) };
     const qz::BackendServerId server("s");
-    duties.setCandidates(makeCandidates());
-    BOOST_CHECK(duties.find(server, makeLocation("a", "a1")) == ServerRole::Owner);
-    duties.setCandidates({});
-    BOOST_CHECK(duties.find(server, makeLocation("a", "a1")) == ServerRole::None);
+    roles.setCandidates(makeCandidates());
+    BOOST_CHECK(roles.find(server, makeLocation("a", "a1")) == ServerRole::Owner);
+    roles.setCandidates({});
+    BOOST_CHECK(roles.find(server, makeLocation("a", "a1")) == ServerRole::None);
 }
--- a/packages/qz_placement/tests/serversimulation.h
+++ b/packages/qz_placement/tests/serversimulation.h
@@ -1,4 +1,4 @@
-// A model of backend servers under load, driven by the decisions of this package.
+// Simulates backend servers under load with the decisions of this package.
 #pragma once
 
 #include "qz_placement/qz_placement.h"
@@ -13,44 +13,47 @@
 
 namespace qz::testing {
 
+/// The load and the faults of a simulation.
 struct SimulatedLoad
 {
     int servers_ = 8;
     int slots_ = 2;
-    double perSecond_ = 33.0;
-    Duration work_{};
+    double perSecond_ = 33.0; ///< Mean request rate of all instances.
+    Duration work_{};         ///< Typical processing time of a request.
     Duration target_{};
     Duration timeout_{};
     bool isRepeatable_ = false;
     int maxAttempts_ = 2;
-    double spellShare_ = 0.0; ///< Servers that fail at a time.
-    Duration spellLength_ = std::chrono::seconds(9);
-    double spellFails_ = 0.0; ///< Requests that a failing server resets at once.
+    double failingShare_ = 0.0; ///< Share of the servers that fail at any time.
+    Duration failurePeriod_ = std::chrono::seconds(9);
+    /// Share of its requests that a failing server resets immediately.
+    double failureProbability_ = 0.0;
     int slowServers_ = 0;
     double slowFactor_ = 1.0;
     Duration length_ = std::chrono::seconds(30);
-    /// That place requests, each blind to the others' work. Servers are owned in turn and stand
-    /// in the failure domain of their owner.
+    /// Number of instances that send requests and do not see each other's requests. Server i
+    /// is owned by instance i modulo this number and is in the failure domain of its owner.
     int instances_ = 1;
-    /// In the middle third of the time so many times as much is asked.
+    /// Factor on the request rate in the middle third of the simulated time.
     double burst_ = 1.0;
 };
 
+/// Counts of requests, and of the windows in which the floor was not kept.
 struct SimulationResult
 {
-    int asked_ = 0;
+    int offered_ = 0;
     int served_ = 0;
     int late_ = 0;
     int lost_ = 0;
     int refused_ = 0;
     int sent_ = 0;
-    int windows_ = 0;           ///< Of two seconds.
-    int windowsBelowFloor_ = 0; ///< Too few sound servers in use, many requests unserved.
+    int windows_ = 0;           ///< Number of windows of two seconds.
+    int windowsBelowFloor_ = 0; ///< Windows with too few healthy servers in use and many failures.
     Duration longestRefusal_{ 0 };
 
     SimulationResult &operator+=(const SimulationResult &other)
     {
-        asked_ += other.asked_;
+        offered_ += other.offered_;
         served_ += other.served_;
         late_ += other.late_;
         lost_ += other.lost_;
@@ -63,7 +66,7 @@
     }
 };
 
-/// Runs requests against modelled servers in order of time.
+/// Runs requests against simulated servers, as a discrete event simulation.
 class ServerSimulation
 {
 public:
@@ -75,8 +78,8 @@
     {
         for (std::size_t i = 0; i < servers_.size(); ++i) {
             servers_[i].factor_ = static_cast<int>(i) < load.slowServers_ ? load.slowFactor_ : 1.0;
-            std::uniform_int_distribution<Duration::rep> offset(0, load.spellLength_.count());
-            servers_[i].spellOffset_ = Duration(offset(random_));
+            std::uniform_int_distribution<Duration::rep> offset(0, load.failurePeriod_.count());
+            servers_[i].periodOffset_ = Duration(offset(random_));
         }
     }
 
@@ -87,13 +90,13 @@
         while (!events_.empty()) {
             const auto next = events_.begin();
             now_ = next->first;
-            const auto work = std::move(next->second);
+            const auto action = std::move(next->second);
             events_.erase(next);
             while (now_ >= windowEnd) {
                 closeWindow();
                 windowEnd += window;
             }
-            work();
+            action();
         }
         return result_;
     }
@@ -105,8 +108,8 @@
         std::size_t instance_ = 0;
         std::vector<std::size_t> tried_;
     };
-    /// What an instance believes of a server.
-    struct View
+    /// State of a server as seen by one instance.
+    struct ServerView
     {
         ServerHealth health_;
         std::multimap<TimePoint, int> inFlight_;
@@ -122,14 +125,14 @@
 
         RetryAllowance allowance_;
         ServiceLatency latency_;
-        FailureRateTracker share_;
-        std::vector<View> views_;
+        FailureRateTracker failureRateTracker_;
+        std::vector<ServerView> views_;
     };
     struct Server
     {
         double factor_ = 1.0;
-        Duration spellOffset_{};
-        std::map<Duration::rep, bool> spells_; ///< By number of the spell.
+        Duration periodOffset_{};
+        std::map<Duration::rep, bool> isFailing_; ///< By index of the failure period.
         std::vector<TimePoint> slotFreeAt_;
         TimePoint lastFailed_{};
         bool isUsedInWindow_ = false;
@@ -139,7 +142,10 @@
     static constexpr TimePoint start{ std::chrono::hours(1) };
     static constexpr Duration window = std::chrono::seconds(2);
 
-    void at(TimePoint time, std::function<void()> work) { events_.emplace(time, std::move(work)); }
+    void schedule(TimePoint time, std::function<void()> action)
+    {
+        events_.emplace(time, std::move(action));
+    }
 
     double rateAt(TimePoint time) const
     {
@@ -152,11 +158,11 @@
     {
         TimePoint time = start;
         while (time < start + load_.length_) {
-            std::exponential_distribution<double> gap(rateAt(time));
+            std::exponential_distribution<double> interval(rateAt(time));
             time += std::chrono::duration_cast<Duration>(
-                    std::chrono::duration<double>(gap(random_)));
-            at(time, [this, time] {
-                ++result_.asked_;
+                    std::chrono::duration<double>(interval(random_)));
+            schedule(time, [this, time] {
+                ++result_.offered_;
                 std::uniform_int_distribution<std::size_t> any(0, instances_.size() - 1);
                 const std::size_t instance = any(random_);
                 instances_[instance].allowance_.countRequest(now_);
@@ -165,33 +171,34 @@
         }
     }
 
-    bool isInSpell(Server &server)
+    bool isFailing(Server &server)
     {
-        const auto number = (now_ - start + server.spellOffset_) / load_.spellLength_;
-        const auto found = server.spells_.find(number);
-        if (found != server.spells_.end()) {
+        const auto period = (now_ - start + server.periodOffset_) / load_.failurePeriod_;
+        const auto found = server.isFailing_.find(period);
+        if (found != server.isFailing_.end()) {
             return found->second;
         }
-        return server.spells_[number] = std::bernoulli_distribution(load_.spellShare_)(random_);
+        return server.isFailing_[period] =
+                       std::bernoulli_distribution(load_.failingShare_)(random_);
     }
 
     PlacementRequest makeRequest(const Request &request)
     {
         Instance &instance = instances_[request.instance_];
-        PlacementRequest made;
-        made.isRepeatable_ = load_.isRepeatable_;
-        made.target_ = load_.target_;
-        made.timeLeft_ = request.arrivedAt_ + load_.timeout_ - now_;
-        made.expectedLatency_ = instance.latency_.mean(load_.target_);
-        made.isCongested_ = instance.latency_.isCongested();
-        made.shouldSpread_ = instance.share_.failureRate(now_) > spreadFailureRate;
-        return made;
+        PlacementRequest result;
+        result.isRepeatable_ = load_.isRepeatable_;
+        result.target_ = load_.target_;
+        result.timeLeft_ = request.arrivedAt_ + load_.timeout_ - now_;
+        result.expectedLatency_ = instance.latency_.mean(load_.target_);
+        result.isCongested_ = instance.latency_.isCongested();
+        result.shouldSpread_ = instance.failureRateTracker_.failureRate(now_) > spreadFailureRate;
+        return result;
     }
 
     PlacementCandidate makeCandidate(const Request &request, std::size_t server) const
     {
         const Instance &instance = instances_[request.instance_];
-        const View &view = instance.views_[server];
+        const ServerView &view = instance.views_[server];
         const bool isOwner = server % instances_.size() == request.instance_;
         PlacementCandidate candidate;
         candidate.serverRole_ = isOwner ? ServerRole::Owner : ServerRole::None;
@@ -238,13 +245,13 @@
         Server &server = servers_[index];
         request->tried_.push_back(index);
         ++result_.sent_;
-        View &view = instances_[request->instance_].views_[index];
+        ServerView &view = instances_[request->instance_].views_[index];
         view.lastSent_ = now_;
         server.isUsedInWindow_ = true;
         const TimePoint sentAt = now_;
         view.inFlight_.emplace(sentAt, 0);
-        if (isInSpell(server) && std::bernoulli_distribution(load_.spellFails_)(random_)) {
-            at(now_ + std::chrono::milliseconds(2), [this, request, index, sentAt] {
+        if (isFailing(server) && std::bernoulli_distribution(load_.failureProbability_)(random_)) {
+            schedule(now_ + std::chrono::milliseconds(2), [this, request, index, sentAt] {
                 fail(request, index, sentAt, AttemptResult::Cut);
             });
             return;
@@ -257,27 +264,28 @@
         *slot = std::max(*slot, now_) + duration;
         const TimePoint limit = request->arrivedAt_ + load_.timeout_;
         if (*slot > limit) {
-            at(limit, [this, request, index, sentAt] {
+            schedule(limit, [this, request, index, sentAt] {
                 fail(request, index, sentAt, AttemptResult::TimedOut);
             });
             return;
         }
-        at(*slot, [this, request, index, sentAt] { succeed(request, index, sentAt); });
+        schedule(*slot, [this, request, index, sentAt] { succeed(request, index, sentAt); });
     }
 
-    void finishTry(const Request &request, std::size_t index, TimePoint sentAt,
-                   AttemptResult result)
+    void finishAttempt(const Request &request, std::size_t index, TimePoint sentAt,
+                       AttemptResult result)
     {
-        View &view = instances_[request.instance_].views_[index];
+        ServerView &view = instances_[request.instance_].views_[index];
         view.inFlight_.erase(view.inFlight_.find(sentAt));
-        const bool isHeld = view.health_.record(result, now_ - sentAt, load_.isRepeatable_, now_);
+        const bool isEjected =
+                view.health_.record(result, now_ - sentAt, load_.isRepeatable_, now_);
         const bool isRecovered = view.health_.state(now_) == ServerHealth::State::Good;
         for (Instance &other : instances_) {
             ServerHealth &health = other.views_[index].health_;
             if (&health == &view.health_) {
                 continue;
             }
-            if (isHeld && isServerFault(result)) {
+            if (isEjected && isServerFault(result)) {
                 health.applyReportedEjection(view.health_.ejectedUntil() - now_, now_);
             } else if (isRecovered && health.state(now_) != ServerHealth::State::Good) {
                 health.applyReportedRecovery(now_);
@@ -287,7 +295,7 @@
 
     void fail(const RequestPtr &request, std::size_t index, TimePoint sentAt, AttemptResult result)
     {
-        finishTry(*request, index, sentAt, result);
+        finishAttempt(*request, index, sentAt, result);
         servers_[index].lastFailed_ = now_;
         const bool mayRetry = load_.isRepeatable_ && result == AttemptResult::Cut
                 && static_cast<int>(request->tried_.size()) < load_.maxAttempts_
@@ -301,7 +309,7 @@
 
     void succeed(const RequestPtr &request, std::size_t index, TimePoint sentAt)
     {
-        finishTry(*request, index, sentAt, AttemptResult::Answered);
+        finishAttempt(*request, index, sentAt, AttemptResult::Answered);
         instances_[request->instance_].latency_.record(now_ - sentAt, now_);
         result_.late_ += now_ - request->arrivedAt_ > load_.target_ ? 1 : 0;
         end(*request, result_.served_, true);
@@ -310,27 +318,27 @@
     void end(const Request &request, int &counter, bool isServed)
     {
         ++counter;
-        instances_[request.instance_].share_.record(isServed, now_);
+        instances_[request.instance_].failureRateTracker_.record(isServed, now_);
         ++windowEnds_;
-        windowUnserved_ += isServed ? 0 : 1;
+        windowFailures_ += isServed ? 0 : 1;
     }
 
     void closeWindow()
     {
-        int sound = 0;
+        int healthy = 0;
         int used = 0;
         for (Server &server : servers_) {
-            const bool isSound = now_ - server.lastFailed_ > window;
-            sound += isSound ? 1 : 0;
-            used += isSound && server.isUsedInWindow_ ? 1 : 0;
+            const bool isHealthy = now_ - server.lastFailed_ > window;
+            healthy += isHealthy ? 1 : 0;
+            used += isHealthy && server.isUsedInWindow_ ? 1 : 0;
             server.isUsedInWindow_ = false;
         }
         ++result_.windows_;
         const bool manyFail =
-                windowUnserved_ * 10 > windowEnds_ && windowUnserved_ * 2 < windowEnds_;
-        result_.windowsBelowFloor_ += manyFail && used < 0.7 * sound ? 1 : 0;
+                windowFailures_ * 10 > windowEnds_ && windowFailures_ * 2 < windowEnds_;
+        result_.windowsBelowFloor_ += manyFail && used < 0.7 * healthy ? 1 : 0;
         windowEnds_ = 0;
-        windowUnserved_ = 0;
+        windowFailures_ = 0;
     }
 
     const SimulatedLoad load_;
@@ -341,7 +349,7 @@
     TimePoint now_ = start;
     SimulationResult result_;
     int windowEnds_ = 0;
-    int windowUnserved_ = 0;
+    int windowFailures_ = 0;
 };
 
 inline SimulationResult simulate(const SimulatedLoad &load, unsigned seed)
--- a/packages/qz_placement/tests/simulationtest.cpp
+++ b/packages/qz_placement/tests/simulationtest.cpp
@@ -1,5 +1,5 @@
-// Replays of load on a small model of servers: spells of failure, slowness, floods. Time is
-// simulated; what is asserted is served, lost, late and sent, against stated bounds.
+// Simulates load on a small model of servers with temporary failures, slow servers and floods.
+// Time is simulated. The tests compare the served, lost, late and sent requests with fixed bounds.
 #include "qz_placement/tests/serversimulation.h"
 
 #include <boost/test/unit_test.hpp>
@@ -12,8 +12,8 @@
 
 constexpr int seeds = 8;
 
-/// Eight servers of two slots at a third of their capacity, as in the deployments of today.
-SimulatedLoad makeUsualLoad()
+/// Eight servers with two slots each at a third of their capacity, as in typical deployments.
+SimulatedLoad makeTypicalLoad()
 {
     SimulatedLoad load;
     load.servers_ = 8;
@@ -25,92 +25,93 @@
     return load;
 }
 
-/// At any time three in ten servers fail most requests at once, for some seconds.
-SimulatedLoad makeSpells()
+/// At any time about 30 % of the servers immediately fail most requests for several seconds.
+SimulatedLoad makeLoadWithFailures()
 {
-    SimulatedLoad load = makeUsualLoad();
-    load.spellShare_ = 0.3;
-    load.spellLength_ = 9s;
-    load.spellFails_ = 0.85;
+    SimulatedLoad load = makeTypicalLoad();
+    load.failingShare_ = 0.3;
+    load.failurePeriod_ = 9s;
+    load.failureProbability_ = 0.85;
     return load;
 }
 
 SimulationResult simulate(const SimulatedLoad &load)
 {
-    SimulationResult sum;
+    SimulationResult total;
     for (int seed = 1; seed <= seeds; ++seed) {
-        sum += qz::testing::simulate(load, static_cast<unsigned>(seed));
+        total += qz::testing::simulate(load, static_cast<unsigned>(seed));
     }
-    return sum;
+    return total;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(soundServersServeEverythingInTime)
+BOOST_AUTO_TEST_CASE(healthyServersAnswerAllRequestsInTime)
 {
-    const SimulationResult result = simulate(makeUsualLoad());
+    const SimulationResult result = simulate(makeTypicalLoad());
     BOOST_TEST(result.lost_ == 0);
     BOOST_TEST(result.refused_ == 0);
     BOOST_TEST(result.served_ > 0);
     BOOST_TEST(result.late_ < result.served_ / 100);
 }
 
-BOOST_AUTO_TEST_CASE(spellsOfFailureCostAFewRequestsThatMayNotBeRepeated)
+BOOST_AUTO_TEST_CASE(temporaryFailuresLoseFewNonRepeatableRequests)
 {
-    SimulatedLoad load = makeSpells();
+    SimulatedLoad load = makeLoadWithFailures();
     load.isRepeatable_ = false;
     const SimulationResult result = simulate(load);
-    // Without evidence 0.3 x 0.85 of the requests are lost.
-    BOOST_TEST(result.lost_ < result.asked_ * 0.08);
+    // If servers were chosen regardless of their health, 0.3 x 0.85 of the requests would be lost.
+    BOOST_TEST(result.lost_ < result.offered_ * 0.08);
     BOOST_TEST(result.refused_ == 0);
-    BOOST_TEST(result.sent_ == result.asked_);
+    BOOST_TEST(result.sent_ == result.offered_);
 }
 
-BOOST_AUTO_TEST_CASE(spellsOfFailureCostRepeatableRequestsNearlyNothing)
+BOOST_AUTO_TEST_CASE(temporaryFailuresLoseHardlyAnyRepeatableRequests)
 {
-    SimulatedLoad load = makeSpells();
+    SimulatedLoad load = makeLoadWithFailures();
     load.isRepeatable_ = true;
     const SimulationResult result = simulate(load);
-    BOOST_TEST(result.lost_ < result.asked_ * 0.01);
-    BOOST_TEST(result.sent_ - result.asked_ < result.asked_ * 0.2);
+    BOOST_TEST(result.lost_ < result.offered_ * 0.01);
+    BOOST_TEST(result.sent_ - result.offered_ < result.offered_ * 0.2);
 }
 
-BOOST_AUTO_TEST_CASE(soundServersStayInUseWhileOthersFail)
+BOOST_AUTO_TEST_CASE(healthyServersStayInUseWhileOthersFail)
 {
-    SimulatedLoad load = makeSpells();
+    SimulatedLoad load = makeLoadWithFailures();
     load.isRepeatable_ = false;
     const SimulationResult result = simulate(load);
-    // The floor of the deployments: seven in ten, in each two seconds with many failures.
+    // The floor of the deployments: 70 % of the healthy servers are in use in each window of two
+    // seconds with many failures.
     BOOST_TEST(result.windowsBelowFloor_ <= result.windows_ / 50);
 }
 
-BOOST_AUTO_TEST_CASE(slowServersGetLessWork)
+BOOST_AUTO_TEST_CASE(slowServersGetFewerRequests)
 {
-    SimulatedLoad load = makeUsualLoad();
+    SimulatedLoad load = makeTypicalLoad();
     load.slowServers_ = 2;
     load.slowFactor_ = 8.0;
     const SimulationResult result = simulate(load);
-    // The first request to a slow server can outlast its time before it is known as slow.
+    // The first request to a slow server can time out before the server is known to be slow.
     BOOST_TEST(result.lost_ <= load.slowServers_ * seeds);
-    BOOST_TEST(result.late_ < result.asked_ * 0.06);
+    BOOST_TEST(result.late_ < result.offered_ * 0.06);
 }
 
-BOOST_AUTO_TEST_CASE(aFloodIsRefusedAtOnceAndTheRestServed)
+BOOST_AUTO_TEST_CASE(inAFloodExcessRequestsAreRefusedImmediately)
 {
-    SimulatedLoad load = makeUsualLoad();
+    SimulatedLoad load = makeTypicalLoad();
     load.perSecond_ = 200.0; // Twice the capacity.
     const SimulationResult result = simulate(load);
     const double capacity = 8 * 2 / 0.16 * 30 * seeds;
     BOOST_TEST(result.served_ > capacity * 0.85);
-    // What is sent is served: nothing runs out of its time at a server.
-    BOOST_TEST(result.lost_ < result.asked_ * 0.02);
+    // Requests that are sent are answered: they do not time out at a server.
+    BOOST_TEST(result.lost_ < result.offered_ * 0.02);
     BOOST_CHECK(result.longestRefusal_ < 100ms);
 }
 
-BOOST_AUTO_TEST_CASE(instancesThatDoNotSeeEachOthersWorkDoNotFillTheSameServers)
+BOOST_AUTO_TEST_CASE(independentInstancesDoNotOverloadTheSameServers)
 {
-    // Twelve instances before 72 servers of four slots. In the burst 0.55 of the slots work; a
-    // pool that knew all its queues would let nearly nothing wait.
+    // Twelve instances share 72 servers with four slots each. During the burst 55 % of the slots
+    // are busy; with knowledge of all queues, hardly any request would have to wait.
     SimulatedLoad load;
     load.servers_ = 72;
     load.slots_ = 4;
@@ -121,12 +122,12 @@
     load.target_ = 1s;
     load.timeout_ = 3s;
     load.isRepeatable_ = true;
-    load.spellShare_ = 0.3;
-    load.spellLength_ = 6s;
-    load.spellFails_ = 0.75;
+    load.failingShare_ = 0.3;
+    load.failurePeriod_ = 6s;
+    load.failureProbability_ = 0.75;
     const SimulationResult result = simulate(load);
     BOOST_TEST_MESSAGE("late " << result.late_ << " lost " << result.lost_ << " refused "
-                               << result.refused_ << " of " << result.asked_);
-    BOOST_TEST(result.late_ < result.asked_ * 0.08);
-    BOOST_TEST(result.lost_ < result.asked_ * 0.02);
+                               << result.refused_ << " of " << result.offered_);
+    BOOST_TEST(result.late_ < result.offered_ * 0.08);
+    BOOST_TEST(result.lost_ < result.offered_ * 0.02);
 }
