--- a/packages/qz_routing/qz_routing.h
+++ b/packages/qz_routing/qz_routing.h
@@ -1,4 +1,4 @@
-// The package qz_routing: which service a request goes to.
+// The package qz_routing: finds the service that a request is sent to.
 #pragma once
 
 #include "qz_routing/table/routingtable.h"
--- a/packages/qz_routing/table/routingtable.cpp
+++ b/packages/qz_routing/table/routingtable.cpp
@@ -1,4 +1,4 @@
-// Routes by host and path prefix.
+// Builds the routing table and looks up routes by host and path prefix.
 #include "qz_routing/table/routingtable.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::string normalHost(std::string_view host)
+std::string normalizeHost(std::string_view host)
 {
     std::string text(host.substr(0, host.find(':')));
     std::transform(text.begin(), text.end(), text.begin(),
@@ -26,7 +26,7 @@
 
 const RequestRoute *RoutingTable::find(std::string_view host, std::string_view path) const
 {
-    const auto routes = hosts_.find(normalHost(host));
+    const auto routes = hosts_.find(normalizeHost(host));
     if (routes == hosts_.end()) {
         return nullptr;
     }
@@ -61,7 +61,7 @@
 
 RoutingTable::Builder &RoutingTable::Builder::addRoute(RequestRoute route)
 {
-    route.host_ = normalHost(route.host_);
+    route.host_ = normalizeHost(route.host_);
     routes_.push_back(std::move(route));
     return *this;
 }
@@ -72,25 +72,26 @@
         return invalid(route, "the prefix must begin and end with a slash");
     }
     if (route.timeout_ <= Duration::zero() || route.target_ <= Duration::zero()) {
-        return invalid(route, "a time limit must be above zero");
+        return invalid(route, "the timeout and the target time must be above zero");
     }
     if (route.maxAttempts_ < 1 || route.priority_ < 0) {
-        return invalid(route, "attempts must be at least 1 and the priority at least 0");
+        return invalid(route,
+                       "the number of attempts must be at least 1 and the priority at least 0");
     }
     if (route.shares_.empty()) {
-        return invalid(route, "no service");
+        return invalid(route, "the route has no services");
     }
     for (const TrafficShare &share : route.shares_) {
         if (services_.count(share.service_) == 0) {
             return invalid(route, "unknown service " + share.service_.value());
         }
         if (share.weight_ < 0.0) {
-            return invalid(route, "a weight below zero");
+            return invalid(route, "a weight is below zero");
         }
     }
     const bool hasWeight = std::any_of(route.shares_.begin(), route.shares_.end(),
                                        [](const auto &share) { return share.weight_ > 0.0; });
-    return hasWeight ? Result<void>(success()) : invalid(route, "no share has weight");
+    return hasWeight ? Result<void>(success()) : invalid(route, "all weights are zero");
 }
 
 Result<std::shared_ptr<const RoutingTable>> RoutingTable::Builder::build() const
@@ -103,7 +104,7 @@
     for (const RequestRoute &route : routes_) {
         BOOST_OUTCOME_TRY(check(route));
         if (!table->hosts_[route.host_].emplace(route.prefix_, route).second) {
-            return invalid(route, "another route has this host and prefix");
+            return invalid(route, "another route has the same host and prefix");
         }
     }
     return std::shared_ptr<const RoutingTable>(std::move(table));
--- a/packages/qz_routing/table/routingtable.h
+++ b/packages/qz_routing/table/routingtable.h
@@ -1,4 +1,4 @@
-// The routes of one version of the configuration.
+// The routes of one configuration version.
 #pragma once
 
 #include "qz_core/errors/error.h"
@@ -16,31 +16,31 @@
 
 namespace qz {
 
-/// The version of a configuration; later ones are higher.
+/// Version of a configuration; a later configuration has a higher one.
 using ConfigVersion = std::uint64_t;
 
-/// The part of a route's requests that goes to one service.
+/// The share of a route's requests that is sent to one service.
 struct TrafficShare
 {
     ServiceId service_;
-    double weight_ = 1.0; ///< Above 0; counts in relation to the other shares.
+    double weight_ = 1.0; ///< Relative to the other shares; at least one of a route is above 0.
 };
 
-/// Where requests of one host and path prefix go, and what may be done with them.
+/// Services for the requests of one host and path prefix, and how these requests are handled.
 struct RequestRoute
 {
     std::string name_;
-    std::string host_;                 ///< Without a port, in lower case.
-    std::string prefix_;               ///< Begins and ends with a slash.
-    bool isRepeatable_ = false;        ///< A request may run more than once.
-    Duration timeout_{};               ///< A caller is not kept waiting longer.
-    Duration target_{};                ///< An answer within this time is in target.
-    int priority_ = 0;                 ///< 0 is the most urgent.
-    int maxAttempts_ = 1;              ///< Backend servers that one request may be sent to.
+    std::string host_;          ///< Without a port, in lower case.
+    std::string prefix_;        ///< Begins and ends with a slash.
+    bool isRepeatable_ = false; ///< Whether a request may run more than once.
+    Duration timeout_{};        ///< Maximum time until the caller gets an answer.
+    Duration target_{};         ///< An answer within this time meets its target.
+    int priority_ = 0;          ///< 0 is the most urgent.
+    int maxAttempts_ = 1;       ///< Maximum number of backend servers that one request is sent to.
     std::vector<TrafficShare> shares_; ///< At least one.
 };
 
-/// What callers may send, as the operator set it.
+/// Limits on what callers may send, set by the operator.
 struct RequestLimits
 {
     std::uint64_t headerBytes_ = 16384;
@@ -49,8 +49,8 @@
     Duration idleTimeout_ = std::chrono::seconds(60);
 };
 
-/// Finds the route of a request: of its host, with the longest prefix of its path.
-/// Immutable once built, so that a request keeps the version that it began with.
+/// Finds the route of a request: the route of its host with the longest matching path prefix.
+/// Immutable once built, so that a request uses one version until it ends.
 /// @see RoutingTable::Builder
 class RoutingTable
 {
@@ -62,8 +62,8 @@
     std::size_t routeCount() const { return routeCount_; }
     const std::set<ServiceId> &services() const { return services_; }
 
-    /// Null if no route matches. @p host may carry a port and is matched without regard to
-    /// case; @p path is without the query. Costs a lookup for each slash of the path.
+    /// Returns null if no route matches. The case and the port of @p host are ignored;
+    /// @p path must not include the query. Does at most one lookup for each slash in the path.
     const RequestRoute *find(std::string_view host, std::string_view path) const;
 
 private:
@@ -76,9 +76,13 @@
     std::size_t routeCount_ = 0;
 };
 
-/// Collects and checks a configuration. Errors of build(), all of kind InvalidRules: a
-/// prefix without its slashes, two routes for one place, a share of an unknown service or
-/// without weight, a time limit that is not above zero.
+/// Collects and validates a configuration. build() fails with InvalidRules if
+/// - a prefix does not begin and end with a slash,
+/// - two routes have the same host and prefix,
+/// - a timeout or target time is not above zero,
+/// - the number of attempts is below one or the priority below zero,
+/// - a route has no shares, or only shares with a weight of zero,
+/// - a share has a negative weight or an unknown service.
 class RoutingTable::Builder
 {
 public:
--- a/packages/qz_routing/table/trafficsplit.cpp
+++ b/packages/qz_routing/table/trafficsplit.cpp
@@ -1,4 +1,4 @@
-// Smooth weighted round-robin.
+// Implements smooth weighted round-robin.
 #include "qz_routing/table/trafficsplit.h"
 
 #include <algorithm>
@@ -8,8 +8,9 @@
 
 namespace {
 
-/// Points of the sequence at which a process may start; enough for shares of a few per cent.
-constexpr int startSteps = 100;
+/// Number of points of the sequence at which a process may start. 100 points are enough for shares
+/// of a few percent.
+constexpr int startPoints = 100;
 
 bool isSame(const std::vector<TrafficShare> &a, const std::vector<TrafficShare> &b)
 {
@@ -23,8 +24,8 @@
 TrafficSplit::Credits TrafficSplit::makeCredits(const RequestRoute &route, std::mt19937_64 &random)
 {
     Credits credits{ route.shares_, std::vector<double>(route.shares_.size(), 0.0) };
-    std::uniform_int_distribution<int> steps(0, startSteps - 1);
-    for (int left = steps(random); left > 0; --left) {
+    std::uniform_int_distribution<int> steps(0, startPoints - 1);
+    for (int remaining = steps(random); remaining > 0; --remaining) {
         step(route, credits);
     }
     return credits;
--- a/packages/qz_routing/table/trafficsplit.h
+++ b/packages/qz_routing/table/trafficsplit.h
@@ -1,4 +1,4 @@
-// Splits a route's requests between services.
+// Splits the requests of a route between services.
 #pragma once
 
 #include "qz_routing/table/routingtable.h"
@@ -10,17 +10,18 @@
 
 namespace qz {
 
-/// Gives each share its weight's part by smooth weighted round-robin: the part of any run of
-/// requests differs from the weight by less than one request for each share. Each process
-/// starts at a point of its own, so that many processes together are even as well.
+/// Distributes requests in proportion to the weights of the shares by smooth weighted round-robin.
+/// In any sequence of requests, the number sent to each service differs from its exact share by
+/// less than one request per share. Each process starts at a random point of the sequence, so that
+/// the requests of many processes together are balanced as well.
 class TrafficSplit
 {
 public:
-    /// The service of the next request of @p route.
+    /// Returns the service for the next request of @p route.
     const ServiceId &next(const RequestRoute &route, std::mt19937_64 &random);
 
 private:
-    /// Credits by share; they start anew when the shares of the route change.
+    /// Credits by share. They are reset when the shares of the route change.
     struct Credits
     {
         std::vector<TrafficShare> shares_;
@@ -29,7 +30,8 @@
     static std::size_t step(const RequestRoute &route, Credits &credits);
     static Credits makeCredits(const RequestRoute &route, std::mt19937_64 &random);
 
-    std::map<std::string, Credits> routes_; ///< By name; routes with one share are left out.
+    /// By route name; without routes that have a single share.
+    std::map<std::string, Credits> routes_;
 };
 
 } // namespace qz
--- a/packages/qz_routing/tests/routingtabletest.cpp
+++ b/packages/qz_routing/tests/routingtabletest.cpp
@@ -1,4 +1,4 @@
-// Tests of routes and of the split between services.
+// Tests of the routing table and of the traffic split.
 #include "qz_routing/qz_routing.h"
 
 #include <boost/test/unit_test.hpp>
@@ -32,7 +32,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(theLongestPrefixOfTheHostWins)
+BOOST_AUTO_TEST_CASE(findsTheRouteOfTheHostWithTheLongestPrefix)
 {
     auto builder = makeBuilder();
     builder.addRoute(makeRoute("One.example", "/x/", "a"));
@@ -48,31 +48,31 @@
     BOOST_TEST(table->find("one.example", "") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(aContradictoryConfigurationIsRefusedWhole)
+BOOST_AUTO_TEST_CASE(aConfigurationWithAnInvalidRouteIsRejected)
 {
-    const auto isRefused = [](qz::RequestRoute route) {
+    const auto isRejected = [](qz::RequestRoute route) {
         auto builder = makeBuilder();
         builder.addRoute(makeRoute("one.example", "/x/", "a"));
         builder.addRoute(std::move(route));
         return builder.build().has_error();
     };
-    BOOST_TEST(isRefused(makeRoute("one.example", "/x/", "b")));
-    BOOST_TEST(isRefused(makeRoute("one.example", "/y", "b")));
-    BOOST_TEST(isRefused(makeRoute("one.example", "y/", "b")));
-    BOOST_TEST(isRefused(makeRoute("one.example", "/y/", "unknown")));
+    BOOST_TEST(isRejected(makeRoute("one.example", "/x/", "b")));
+    BOOST_TEST(isRejected(makeRoute("one.example", "/y", "b")));
+    BOOST_TEST(isRejected(makeRoute("one.example", "y/", "b")));
+    BOOST_TEST(isRejected(makeRoute("one.example", "/y/", "unknown")));
     auto route = makeRoute("one.example", "/y/", "b");
     route.timeout_ = 0s;
-    BOOST_TEST(isRefused(route));
+    BOOST_TEST(isRejected(route));
     route = makeRoute("one.example", "/y/", "b");
     route.shares_[0].weight_ = 0.0;
-    BOOST_TEST(isRefused(route));
+    BOOST_TEST(isRejected(route));
     route = makeRoute("one.example", "/y/", "b");
     route.maxAttempts_ = 0;
-    BOOST_TEST(isRefused(route));
-    BOOST_TEST(!isRefused(makeRoute("one.example", "/y/", "b")));
+    BOOST_TEST(isRejected(route));
+    BOOST_TEST(!isRejected(makeRoute("one.example", "/y/", "b")));
 }
 
-BOOST_AUTO_TEST_CASE(sharesHoldWithinOneRequestInAnyRun)
+BOOST_AUTO_TEST_CASE(sharesAreExactWithinOneRequest)
 {
     qz::RequestRoute route = makeRoute("h", "/", "a");
     route.shares_ = { { qz::ServiceId("a"), 90.0 }, { qz::ServiceId("b"), 10.0 } };
@@ -85,7 +85,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(manyProcessesWithFewRequestsEachAreEvenTogether)
+BOOST_AUTO_TEST_CASE(manyProcessesWithFewRequestsAreBalancedTogether)
 {
     qz::RequestRoute route = makeRoute("h", "/", "a");
     route.shares_ = { { qz::ServiceId("a"), 75.0 }, { qz::ServiceId("b"), 25.0 } };
@@ -96,6 +96,6 @@
         qz::TrafficSplit split;
         count += split.next(route, random).value() == "b" ? 1 : 0;
     }
-    // The bound of the deployments is a tenth; one request each is the hardest case.
+    // Deployments allow a deviation of a tenth; one request per process is the worst case.
     BOOST_TEST(std::abs(count / double(processes) - 0.25) < 0.1);
 }
