--- a/packages/qz_entries/choice/localfirstchoice.cpp
+++ b/packages/qz_entries/choice/localfirstchoice.cpp
@@ -1,4 +1,4 @@
-// Servers of the own region first.
+// Prefers servers of the entry's own region.
 #include "qz_entries/choice/localfirstchoice.h"
 
 #include "qz_entries/choice/weighteddraw.h"
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// How many times sooner an answer from another region must be, so that work doesn't go to and
-/// fro while both regions are about as busy.
-constexpr int minGain = 2;
+/// Factor by which an answer from another region must be faster. Prevents requests from moving back
+/// and forth between regions that are about equally busy.
+constexpr int minSpeedup = 2;
 
 } // namespace
 
@@ -24,25 +24,25 @@
             std::stable_partition(usable.begin(), usable.end(), [&](std::size_t index) {
                 return candidates[index].location_.region_ == request.origin_.region_;
             });
-    const CandidateIndexes remote(firstRemote, usable.end());
+    const CandidateIndexes remoteServers(firstRemote, usable.end());
     usable.erase(firstRemote, usable.end());
 
-    const auto local = betterOfTwo(candidates, request, usable, generator);
-    if (!local) {
-        return betterOfTwo(candidates, request, remote, generator);
+    const auto localServer = betterOfTwo(candidates, request, usable, generator);
+    if (!localServer) {
+        return betterOfTwo(candidates, request, remoteServers, generator);
     }
-    const Duration localAnswer = expectedAnswer(candidates[*local], request);
+    const Duration localAnswer = expectedAnswer(candidates[*localServer], request);
     if (localAnswer <= request.target_) {
-        return local;
+        return localServer;
     }
-    const auto other = betterOfTwo(candidates, request, remote, generator);
-    if (!other) {
-        return local;
+    const auto remoteServer = betterOfTwo(candidates, request, remoteServers, generator);
+    if (!remoteServer) {
+        return localServer;
     }
-    const Duration otherAnswer = expectedAnswer(candidates[*other], request);
-    const bool isWorthTheLink =
-            otherAnswer <= request.target_ && minGain * otherAnswer <= localAnswer;
-    return isWorthTheLink ? other : local;
+    const Duration remoteAnswer = expectedAnswer(candidates[*remoteServer], request);
+    const bool isRemoteBetter =
+            remoteAnswer <= request.target_ && minSpeedup * remoteAnswer <= localAnswer;
+    return isRemoteBetter ? remoteServer : localServer;
 }
 
 } // namespace qz
--- a/packages/qz_entries/choice/localfirstchoice.h
+++ b/packages/qz_entries/choice/localfirstchoice.h
@@ -1,4 +1,4 @@
-// Servers of the own region first, the better of two: the chosen way.
+// Server choice that prefers the entry's own region. The default policy.
 #pragma once
 
 #include "qz_entries/choice/servercandidate.h"
@@ -10,17 +10,17 @@
 
 namespace qz {
 
-/// The better of two within the own region. Another region is chosen only if the answer from
-/// the own one would miss its target and the answer from there would not and come much sooner,
-/// since the link between regions is narrow and paid by volume; or if the own region has no
-/// server.
+/// Chooses the better of two servers in the entry's own region. Chooses a server in another region
+/// only if there is none in its own, or if the local answer would miss its target and the remote
+/// answer would meet it and arrive much earlier. The link between regions is narrow and
+/// paid by volume.
 /// @see ServerChooser
 class LocalFirstChoice
 {
 public:
     std::string_view name() const { return "local-first"; }
 
-    /// The index of the chosen candidate; nothing if none has a weight above 0.
+    /// Returns the index of the chosen candidate, or no value if none has a weight above 0.
     std::optional<std::size_t> choose(const std::vector<ServerCandidate> &candidates,
                                       const ServerRequest &request,
                                       std::mt19937_64 &generator) const;
--- a/packages/qz_entries/choice/poweroftwochoice.cpp
+++ b/packages/qz_entries/choice/poweroftwochoice.cpp
@@ -1,4 +1,4 @@
-// The better of two.
+// Implements the power-of-two choice.
 #include "qz_entries/choice/poweroftwochoice.h"
 
 #include "qz_entries/choice/weighteddraw.h"
--- a/packages/qz_entries/choice/randomchoice.cpp
+++ b/packages/qz_entries/choice/randomchoice.cpp
@@ -1,4 +1,4 @@
-// A choice at random.
+// Implements the weighted random choice.
 #include "qz_entries/choice/randomchoice.h"
 
 #include "qz_entries/choice/weighteddraw.h"
--- a/packages/qz_entries/choice/randomchoice.h
+++ b/packages/qz_entries/choice/randomchoice.h
@@ -1,4 +1,4 @@
-// A choice at random, by weight: a baseline.
+// Weighted random server choice. A baseline for comparison.
 #pragma once
 
 #include "qz_entries/choice/servercandidate.h"
@@ -10,14 +10,14 @@
 
 namespace qz {
 
-/// Any candidate, in proportion to its weight.
+/// Chooses a candidate at random, in proportion to its weight.
 /// @see ServerChooser
 class RandomChoice
 {
 public:
     std::string_view name() const { return "random"; }
 
-    /// The index of the chosen candidate; nothing if none has a weight above 0.
+    /// Returns the index of the chosen candidate, or no value if none has a weight above 0.
     std::optional<std::size_t> choose(const std::vector<ServerCandidate> &candidates,
                                       const ServerRequest &request,
                                       std::mt19937_64 &generator) const;
--- a/packages/qz_entries/choice/servercandidate.h
+++ b/packages/qz_entries/choice/servercandidate.h
@@ -1,4 +1,4 @@
-// What an entry knows about the backend servers that may take a request.
+// The inputs of a server choice: backend servers and the request.
 #pragma once
 
 #include "qz_core/ids/ids.h"
@@ -9,40 +9,40 @@
 
 namespace qz {
 
-/// The state of a gate's queue, as its last digest told it.
+/// State of a gate's queue, from the last digest that the gate sent.
 struct QueueDigest
 {
     std::size_t queued_ = 0;
     std::size_t running_ = 0;
     int slots_ = 1;
     std::vector<Duration> waitByRank_; ///< Estimated wait for a slot, most urgent rank first.
-    Duration age_{};                   ///< Time since it was true.
+    Duration age_{};                   ///< Time since the gate measured this state.
 };
 
-/// One backend server that may take the request.
+/// A backend server that the request may be sent to.
 struct ServerCandidate
 {
     BackendServerId id_;
     Location location_;
-    double weight_ = 1.0; ///< 0 to 1, by health; below 1 while sick or cold; 0: not chosen.
-    std::optional<QueueDigest> digest_; ///< None: nothing was heard of its queue yet.
-    Duration roundTrip_{};              ///< Estimate, between this entry and the gate.
+    double weight_ = 1.0; ///< 0 to 1; below 1 while unhealthy or warming up; 0: never chosen.
+    std::optional<QueueDigest> digest_; ///< Empty until a digest has arrived.
+    Duration roundTrip_{};              ///< Estimated round trip between this entry and the gate.
 };
 
-/// What the choice needs to know about a request.
+/// The properties of a request that the choice depends on.
 struct ServerRequest
 {
-    Location origin_; ///< Where the entry stands.
+    Location origin_; ///< Location of the entry.
     std::size_t rank_ = 0;
-    Duration target_{};              ///< Time from now within which its answer is in target.
-    Duration expectedServiceTime_{}; ///< Expected time in a slot.
+    Duration target_{};              ///< Remaining time within which the answer meets its target.
+    Duration expectedServiceTime_{}; ///< Expected processing time in a slot.
 };
 
-/// The wait for a slot at @p candidate in @p rank. What a digest told counts for less the older
-/// it is; where nothing is known, the wait is zero.
+/// Returns the expected wait for a slot at @p candidate in @p rank. The wait in a digest counts
+/// less with increasing age; without a digest, the wait is zero.
 Duration expectedWait(const ServerCandidate &candidate, std::size_t rank);
 
-/// The time until an answer of @p candidate is here.
+/// Returns the expected time until an answer of @p candidate arrives at this entry.
 Duration expectedAnswer(const ServerCandidate &candidate, const ServerRequest &request);
 
 } // namespace qz
--- a/packages/qz_entries/choice/serverchooser.cpp
+++ b/packages/qz_entries/choice/serverchooser.cpp
@@ -1,4 +1,4 @@
-// The choice of the backend server.
+// Forwards a server choice to the configured policy.
 #include "qz_entries/choice/serverchooser.h"
 
 namespace qz {
--- a/packages/qz_entries/choice/serverchooser.h
+++ b/packages/qz_entries/choice/serverchooser.h
@@ -1,4 +1,4 @@
-// The choice of the backend server, and with it of the gate, that a request goes to.
+// Chooses the backend server, and thereby the gate, that a request is sent to.
 #pragma once
 
 #include "qz_entries/choice/localfirstchoice.h"
@@ -15,9 +15,9 @@
 
 using ChoicePolicy = std::variant<LocalFirstChoice, PowerOfTwoChoice, RandomChoice>;
 
-/// Chooses among the servers that the rules allow for a request. Keeps nothing between calls:
-/// for a second try, leave out the candidates that were tried before.
-/// Costs one pass over the candidates.
+/// Chooses among the servers that the rules allow for a request. Keeps no state between calls: for
+/// a retry, leave out the candidates of earlier attempts. Takes time proportional to the number of
+/// candidates.
 /// @see ServerCandidate, RetryBudget
 class ServerChooser
 {
@@ -27,11 +27,11 @@
     {
     }
 
-    /// "local-first", "power-of-two" or "random".
+    /// Returns "local-first", "power-of-two" or "random".
     std::string_view policyName() const;
 
-    /// The index of the chosen candidate; nothing if none has a weight above 0. The same
-    /// arguments and state of @p generator give the same choice.
+    /// Returns the index of the chosen candidate, or no value if none has a weight above 0. The
+    /// same arguments and state of @p generator give the same choice.
     std::optional<std::size_t> choose(const std::vector<ServerCandidate> &candidates,
                                       const ServerRequest &request,
                                       std::mt19937_64 &generator) const;
--- a/packages/qz_entries/choice/weighteddraw.cpp
+++ b/packages/qz_entries/choice/weighteddraw.cpp
@@ -1,4 +1,4 @@
-// Random draws in proportion to weight.
+// Implements weighted random selection and the expected times that it compares.
 #include "qz_entries/choice/weighteddraw.h"
 
 #include <algorithm>
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// The time in which half of a wait that a digest told is taken to be gone. Queues under load
-/// stay about as long as they are; a queue of which nothing is heard is tried again in the end.
+/// Age at which the wait in a digest counts half. The length of a queue under load changes slowly,
+/// but a server without new digests must become eligible again.
 constexpr std::chrono::duration<double> digestHalfLife = std::chrono::seconds(1);
 
 } // namespace
@@ -20,11 +20,11 @@
         return Duration{};
     }
     const QueueDigest &digest = *candidate.digest_;
-    const std::size_t known = std::min(rank, digest.waitByRank_.size() - 1);
+    const std::size_t knownRank = std::min(rank, digest.waitByRank_.size() - 1);
     const std::chrono::duration<double> age = digest.age_;
-    const double kept = std::exp2(-age / digestHalfLife);
-    const auto wait = static_cast<double>(digest.waitByRank_[known].count());
-    return Duration(static_cast<Duration::rep>(wait * kept));
+    const double decay = std::exp2(-age / digestHalfLife);
+    const auto wait = static_cast<double>(digest.waitByRank_[knownRank].count());
+    return Duration(static_cast<Duration::rep>(wait * decay));
 }
 
 Duration expectedAnswer(const ServerCandidate &candidate, const ServerRequest &request)
@@ -55,10 +55,10 @@
     for (const std::size_t index : among) {
         total += candidates[index].weight_;
     }
-    double point = std::uniform_real_distribution<double>(0.0, total)(generator);
+    double remaining = std::uniform_real_distribution<double>(0.0, total)(generator);
     std::size_t drawn = 0;
-    while (drawn + 1 < among.size() && point >= candidates[among[drawn]].weight_) {
-        point -= candidates[among[drawn]].weight_;
+    while (drawn + 1 < among.size() && remaining >= candidates[among[drawn]].weight_) {
+        remaining -= candidates[among[drawn]].weight_;
         ++drawn;
     }
     const std::size_t index = among[drawn];
--- a/packages/qz_entries/choice/weighteddraw.h
+++ b/packages/qz_entries/choice/weighteddraw.h
@@ -1,4 +1,4 @@
-// Random draws in proportion to weight.
+// Weighted random selection of server candidates.
 #pragma once
 
 #include "qz_entries/choice/servercandidate.h"
@@ -11,14 +11,15 @@
 
 using CandidateIndexes = std::vector<std::size_t>;
 
-/// The indexes of all candidates with a weight above 0.
+/// Returns the indexes of all candidates with a weight above 0.
 CandidateIndexes usableCandidates(const std::vector<ServerCandidate> &candidates);
 
-/// Draws one of @p among in proportion to weight and takes it out; nothing if it is empty.
+/// Draws one of @p among at random, in proportion to weight, and removes it from @p among. Returns
+/// no value if @p among is empty.
 std::optional<std::size_t> drawByWeight(const std::vector<ServerCandidate> &candidates,
                                         CandidateIndexes &among, std::mt19937_64 &generator);
 
-/// Draws two of @p among by weight; the one with the earlier expected answer.
+/// Draws two of @p among in the same way and returns the one with the earlier expected answer.
 std::optional<std::size_t> betterOfTwo(const std::vector<ServerCandidate> &candidates,
                                        const ServerRequest &request, CandidateIndexes among,
                                        std::mt19937_64 &generator);
--- a/packages/qz_entries/directory/entrydirectory.cpp
+++ b/packages/qz_entries/directory/entrydirectory.cpp
@@ -1,4 +1,4 @@
-// Which addresses a caller should use.
+// Ranks the members for a caller and fills its address list.
 #include "qz_entries/directory/entrydirectory.h"
 
 #include "qz_core/hashing/rendezvous.h"
@@ -11,20 +11,20 @@
 
 namespace {
 
-/// How near a member is to the caller; lower is better.
-enum class Nearness { SameFailureDomain, SameRegion, Elsewhere };
+/// Distance between a member and the caller; lower is better.
+enum class CallerDistance { SameFailureDomain, SameRegion, OtherRegion };
 
-struct RatedMember
+struct RankedMember
 {
     const EntryMember *member_ = nullptr;
-    Nearness nearness_ = Nearness::Elsewhere;
+    CallerDistance distance_ = CallerDistance::OtherRegion;
     std::uint64_t weight_ = 0;
 };
 
-bool isBetter(const RatedMember &a, const RatedMember &b)
+bool isPreferred(const RankedMember &a, const RankedMember &b)
 {
-    if (a.nearness_ != b.nearness_) {
-        return a.nearness_ < b.nearness_;
+    if (a.distance_ != b.distance_) {
+        return a.distance_ < b.distance_;
     }
     if (a.weight_ != b.weight_) {
         return a.weight_ > b.weight_;
@@ -37,39 +37,41 @@
     if (!query.region_.isEmpty() || query.failureDomain_.isEmpty()) {
         return query.region_;
     }
-    const auto neighbour =
+    const auto sameDomainMember =
             std::find_if(members.begin(), members.end(), [&](const EntryMember &member) {
                 return member.location_.failureDomain_ == query.failureDomain_;
             });
-    return neighbour == members.end() ? RegionId() : neighbour->location_.region_;
+    return sameDomainMember == members.end() ? RegionId() : sameDomainMember->location_.region_;
 }
 
-Nearness nearnessOf(const Location &location, const FailureDomainId &domain, const RegionId &region)
+CallerDistance distanceOf(const Location &location, const FailureDomainId &domain,
+                          const RegionId &region)
 {
     if (!domain.isEmpty() && location.failureDomain_ == domain) {
-        return Nearness::SameFailureDomain;
+        return CallerDistance::SameFailureDomain;
     }
     if (!region.isEmpty() && location.region_ == region) {
-        return Nearness::SameRegion;
+        return CallerDistance::SameRegion;
     }
-    return Nearness::Elsewhere;
+    return CallerDistance::OtherRegion;
 }
 
-std::vector<RatedMember> rate(const AddressQuery &query, const std::vector<EntryMember> &members)
+std::vector<RankedMember> rankMembers(const AddressQuery &query,
+                                      const std::vector<EntryMember> &members)
 {
     const RegionId region = regionOf(query, members);
-    std::vector<RatedMember> rated;
-    rated.reserve(members.size());
+    std::vector<RankedMember> ranked;
+    ranked.reserve(members.size());
     for (const EntryMember &member : members) {
         if (member.isLeaving_) {
             continue;
         }
-        const Nearness nearness = nearnessOf(member.location_, query.failureDomain_, region);
+        const CallerDistance distance = distanceOf(member.location_, query.failureDomain_, region);
         const std::uint64_t weight = rendezvousWeight(query.caller_, member.id_.value());
-        rated.push_back({ &member, nearness, weight });
+        ranked.push_back({ &member, distance, weight });
     }
-    std::sort(rated.begin(), rated.end(), isBetter);
-    return rated;
+    std::sort(ranked.begin(), ranked.end(), isPreferred);
+    return ranked;
 }
 
 } // namespace
@@ -86,23 +88,23 @@
     AddressList list;
     list.timeToLive_ = limits_.timeToLive_;
     std::set<FailureDomainId> domains;
-    std::vector<const EntryMember *> passedOver;
-    for (const RatedMember &candidate : rate(query, members)) {
-        const std::size_t places = limits_.maxAddresses_ - list.entries_.size();
-        const std::size_t missing =
+    std::vector<const EntryMember *> skipped;
+    for (const RankedMember &candidate : rankMembers(query, members)) {
+        const std::size_t freePlaces = limits_.maxAddresses_ - list.entries_.size();
+        const std::size_t missingDomains =
                 limits_.minFailureDomains_ - std::min(limits_.minFailureDomains_, domains.size());
         const FailureDomainId &domain = candidate.member_->location_.failureDomain_;
-        if (places == 0) {
+        if (freePlaces == 0) {
             break;
         }
-        if (domains.count(domain) != 0 && places <= missing) {
-            passedOver.push_back(candidate.member_); // The last places are for other domains.
+        if (domains.count(domain) != 0 && freePlaces <= missingDomains) {
+            skipped.push_back(candidate.member_); // Reserves the place for another domain.
             continue;
         }
         domains.insert(domain);
         list.entries_.push_back(*candidate.member_);
     }
-    for (const EntryMember *member : passedOver) {
+    for (const EntryMember *member : skipped) {
         if (list.entries_.size() < limits_.maxAddresses_) {
             list.entries_.push_back(*member);
         }
--- a/packages/qz_entries/directory/entrydirectory.h
+++ b/packages/qz_entries/directory/entrydirectory.h
@@ -1,4 +1,4 @@
-// Which addresses of the system a caller should use.
+// Chooses the addresses that a caller should connect to.
 #pragma once
 
 #include "qz_core/ids/ids.h"
@@ -11,51 +11,51 @@
 
 namespace qz {
 
-/// An instance that takes callers.
+/// An instance that accepts callers.
 struct EntryMember
 {
     InstanceId id_;
     Location location_;
-    Endpoint endpoint_; ///< Where callers connect.
+    Endpoint endpoint_; ///< The address that callers connect to.
     bool isLeaving_ = false;
 };
 
-/// Who asks for addresses.
+/// The caller that requests addresses.
 struct AddressQuery
 {
-    std::string caller_;            ///< Tells callers apart; its hash spreads them.
-    FailureDomainId failureDomain_; ///< Of the caller; empty: unknown.
-    RegionId region_;               ///< Of the caller; empty: that of its failure domain.
+    std::string caller_;            ///< Identifies the caller; its hash spreads callers evenly.
+    FailureDomainId failureDomain_; ///< Of the caller; empty if unknown.
+    RegionId region_;               ///< Of the caller; if empty, the region of the failure domain.
 };
 
-/// The addresses for one caller, best first.
+/// The addresses for one caller, in order of preference.
 struct AddressList
 {
     std::vector<EntryMember> entries_;
-    Duration timeToLive_{}; ///< After this time the caller should ask again.
+    Duration timeToLive_{}; ///< After this time the caller should request addresses again.
 
-    /// {"addresses": [{"instance", "host", "port", "failure_domain", "region"}], "keep_ms"}
+    /// Returns {"addresses": [{"instance", "host", "port", "failure_domain", "region"}], "keep_ms"}
     nlohmann::json toJson() const;
 };
 
-/// Chooses addresses from the live members: those of the caller's failure domain first, then
-/// of its region, then the others, each group in an order of the caller's own, so that callers
-/// spread evenly. Leaving instances are withdrawn. Everything that sees the same members gives
-/// a caller the same answer.
+/// Chooses addresses from the live members: first the members in the caller's failure domain, then
+/// those in its region, then all others. Within each group the order depends on a hash of the
+/// caller, which spreads callers evenly. Leaving instances are not listed. Instances that know the
+/// same members return the same list for a caller.
 class EntryDirectory
 {
 public:
-    /// Limits of an answer.
+    /// Limits of an address list.
     struct Limits
     {
         std::size_t maxAddresses_ = 4;
-        std::size_t minFailureDomains_ = 2; ///< As far as there are members in so many.
+        std::size_t minFailureDomains_ = 2; ///< Or fewer, if members are in fewer.
         Duration timeToLive_ = std::chrono::seconds(10);
     };
 
     explicit EntryDirectory(Limits limits);
 
-    /// Empty only if no member is live. Costs one hash for each member.
+    /// Returns an empty list only if no member is live. Computes one hash per member.
     AddressList addressesFor(const AddressQuery &query,
                              const std::vector<EntryMember> &members) const;
 
--- a/packages/qz_entries/qz_entries.h
+++ b/packages/qz_entries/qz_entries.h
@@ -1,6 +1,6 @@
 // Package:      qz_entries
-// Purpose:      decisions of an entry instance: which backend server's gate a request goes to,
-//               whether it may be tried again, and which addresses a caller should use.
+// Purpose:      decisions of an entry instance: the backend server and gate for a request, whether
+//               a retry may be sent, and the addresses that a caller should connect to.
 // Dependencies: qz_core, nlohmann-json
 #pragma once
 
--- a/packages/qz_entries/retries/retrybudget.cpp
+++ b/packages/qz_entries/retries/retrybudget.cpp
@@ -1,4 +1,4 @@
-// A token bucket for retries.
+// Implements the token bucket for retries.
 #include "qz_entries/retries/retrybudget.h"
 
 #include <algorithm>
@@ -18,9 +18,9 @@
 
 bool RetryBudget::tryAcquire(TimePoint now)
 {
-    const std::chrono::duration<double> passed = now - updatedAt_;
+    const std::chrono::duration<double> elapsed = now - updatedAt_;
     updatedAt_ = now;
-    add(passed.count() * limits_.earnedPerSecond_);
+    add(elapsed.count() * limits_.earnedPerSecond_);
     if (tokens_ < 1.0) {
         return false;
     }
--- a/packages/qz_entries/retries/retrybudget.h
+++ b/packages/qz_entries/retries/retrybudget.h
@@ -1,4 +1,4 @@
-// How many retries a process may send, so that failures don't multiply a flood.
+// Limits the retries of a process, so that retries do not multiply the load of a flood.
 #pragma once
 
 #include "qz_core/time/clock.h"
@@ -8,23 +8,24 @@
 /// The limits of a RetryBudget.
 struct RetryTokenLimits
 {
-    double earnedPerSuccess_ = 0.1; ///< Retries earned by each successful request.
-    double earnedPerSecond_ = 1.0;  ///< Retries earned each second without any success.
-    double maxTokens_ = 100.0;      ///< Retries that may be saved up.
+    double earnedPerSuccess_ = 0.1; ///< Tokens earned by each successful request.
+    double earnedPerSecond_ = 1.0;  ///< Tokens earned per second, also without successes.
+    double maxTokens_ = 100.0;      ///< Maximum number of saved tokens.
 };
 
-/// Tokens for retries: earned by successes and slowly by time, spent one for each retry.
-/// Whether a retry is allowed at all is decided elsewhere, by error kind and by the kind of work.
+/// Token bucket for retries. Successful requests earn tokens, as does time at a low rate; each
+/// retry spends one token. Whether a request may be retried at all depends on the kinds of error
+/// and work and is decided elsewhere.
 /// @see answerOf
 class RetryBudget
 {
 public:
     explicit RetryBudget(RetryTokenLimits limits, TimePoint now);
 
-    /// Counts a request that ended well.
+    /// Adds the tokens that a successful request earns.
     void recordSuccess();
 
-    /// Takes a token for one retry; false if there is none and the retry must not be sent.
+    /// Spends a token for one retry. Returns false if there is none; the retry must not be sent.
     bool tryAcquire(TimePoint now);
 
     double tokens() const { return tokens_; }
@@ -34,7 +35,7 @@
 
     RetryTokenLimits limits_;
     double tokens_ = 0.0; ///< 0 to limits_.maxTokens_.
-    TimePoint updatedAt_; ///< The floor is counted up to here.
+    TimePoint updatedAt_; ///< Time up to which the tokens earned by time are included.
 };
 
 } // namespace qz
--- a/packages/qz_entries/tests/entrydirectorytest.cpp
+++ b/packages/qz_entries/tests/entrydirectorytest.cpp
@@ -1,4 +1,4 @@
-// Tests of the addresses that a caller is given.
+// Tests of the addresses that a caller gets.
 #include "qz_entries/directory/entrydirectory.h"
 
 #include <boost/test/unit_test.hpp>
@@ -30,7 +30,7 @@
     return members;
 }
 
-qz::AddressQuery from(const std::string &caller, const std::string &domain = "")
+qz::AddressQuery queryFrom(const std::string &caller, const std::string &domain = "")
 {
     return { caller, qz::FailureDomainId(domain), qz::RegionId() };
 }
@@ -41,9 +41,9 @@
 
 BOOST_AUTO_TEST_SUITE(entryDirectory)
 
-BOOST_AUTO_TEST_CASE(ownDomainThenOwnRegion)
+BOOST_AUTO_TEST_CASE(listsTheCallersDomainBeforeItsRegion)
 {
-    const auto list = directory.addressesFor(from("c", "alex-a"), makeMembers(2));
+    const auto list = directory.addressesFor(queryFrom("c", "alex-a"), makeMembers(2));
     BOOST_TEST_REQUIRE(list.entries_.size() == 4U);
     BOOST_TEST(list.entries_[0].location_.failureDomain_.value() == "alex-a");
     BOOST_TEST(list.entries_[1].location_.failureDomain_.value() == "alex-a");
@@ -51,9 +51,9 @@
     BOOST_TEST(list.entries_[3].location_.failureDomain_.value() == "alex-b");
 }
 
-BOOST_AUTO_TEST_CASE(atLeastTwoDomainsThoughTheOwnOneHasEnough)
+BOOST_AUTO_TEST_CASE(listsTwoDomainsEvenIfOneHasEnoughMembers)
 {
-    const auto list = directory.addressesFor(from("c", "alex-a"), makeMembers(8));
+    const auto list = directory.addressesFor(queryFrom("c", "alex-a"), makeMembers(8));
     BOOST_TEST_REQUIRE(list.entries_.size() == 4U);
     BOOST_TEST(list.entries_[2].location_.failureDomain_.value() == "alex-a");
     BOOST_TEST(list.entries_[3].location_.failureDomain_.value() == "alex-b");
@@ -66,14 +66,14 @@
     for (qz::EntryMember &member : members) {
         member = makeMember("alex-a", ++number);
     }
-    BOOST_TEST(directory.addressesFor(from("c", "alex-a"), members).entries_.size() == 4U);
+    BOOST_TEST(directory.addressesFor(queryFrom("c", "alex-a"), members).entries_.size() == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(leavingMembersAreWithdrawn)
+BOOST_AUTO_TEST_CASE(leavingMembersAreNotListed)
 {
     auto members = makeMembers(1);
     members[0].isLeaving_ = true;
-    const auto list = directory.addressesFor(from("c", "alex-a"), members);
+    const auto list = directory.addressesFor(queryFrom("c", "alex-a"), members);
     BOOST_TEST(list.entries_.size() == 3U);
     BOOST_TEST(list.entries_[0].location_.failureDomain_.value() == "alex-b");
 }
@@ -81,24 +81,24 @@
 BOOST_AUTO_TEST_CASE(callersSpreadOverTheMembersOfADomain)
 {
     const auto members = makeMembers(8);
-    std::map<std::string, int> firsts;
+    std::map<std::string, int> countsOfFirst;
     for (int i = 0; i < 4000; ++i) {
-        const auto list =
-                directory.addressesFor(from("caller-" + std::to_string(i), "cairo-b"), members);
-        ++firsts[list.entries_.front().id_.value()];
+        const auto list = directory.addressesFor(
+                queryFrom("caller-" + std::to_string(i), "cairo-b"), members);
+        ++countsOfFirst[list.entries_.front().id_.value()];
     }
-    BOOST_TEST(firsts.size() == 8U);
-    for (const auto &[instance, count] : firsts) {
+    BOOST_TEST(countsOfFirst.size() == 8U);
+    for (const auto &[instance, count] : countsOfFirst) {
         BOOST_TEST(count > 350, instance << " is first for " << count << " of 4000");
         BOOST_TEST(count < 650, instance << " is first for " << count << " of 4000");
     }
 }
 
-BOOST_AUTO_TEST_CASE(aCallerOfNoKnownDomainGetsAnyTwoDomains)
+BOOST_AUTO_TEST_CASE(aCallerOfAnUnknownDomainGetsTwoDomains)
 {
     for (int i = 0; i < 200; ++i) {
         const auto list =
-                directory.addressesFor(from("caller-" + std::to_string(i)), makeMembers(8));
+                directory.addressesFor(queryFrom("caller-" + std::to_string(i)), makeMembers(8));
         std::set<std::string> found;
         for (const auto &entry : list.entries_) {
             found.insert(entry.location_.failureDomain_.value());
@@ -109,7 +109,7 @@
 
 BOOST_AUTO_TEST_CASE(theRegionIsUsedWhenTheDomainHasNoMembers)
 {
-    qz::AddressQuery query = from("c", "cairo-z");
+    qz::AddressQuery query = queryFrom("c", "cairo-z");
     query.region_ = qz::RegionId("cairo");
     const auto list = directory.addressesFor(query, makeMembers(2));
     for (const auto &entry : list.entries_) {
@@ -117,9 +117,9 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(jsonHoldsOrderAndTimeToKeep)
+BOOST_AUTO_TEST_CASE(jsonContainsTheOrderAndTheTimeToLive)
 {
-    const auto list = directory.addressesFor(from("c", "alex-a"), makeMembers(1));
+    const auto list = directory.addressesFor(queryFrom("c", "alex-a"), makeMembers(1));
     const auto json = list.toJson();
     BOOST_TEST(json.at("keep_ms").get<int>() == 10000);
     BOOST_TEST(json.at("addresses").at(0).at("failure_domain").get<std::string>() == "alex-a");
--- a/packages/qz_entries/tests/retrybudgettest.cpp
+++ b/packages/qz_entries/tests/retrybudgettest.cpp
@@ -7,43 +7,43 @@
 
 namespace {
 
-int takeAll(qz::RetryBudget &budget, const qz::Clock &clock)
+int spendAll(qz::RetryBudget &budget, const qz::Clock &clock)
 {
-    int taken = 0;
+    int spent = 0;
     while (budget.tryAcquire(clock.now())) {
-        ++taken;
+        ++spent;
     }
-    return taken;
+    return spent;
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(retryBudget)
 
-BOOST_AUTO_TEST_CASE(aTenthOfTheSuccesses)
+BOOST_AUTO_TEST_CASE(successesEarnTokens)
 {
     const qz::ManualClock clock;
     qz::RetryBudget budget({ 0.1, 1.0, 100.0 }, clock.now());
     for (int i = 0; i < 205; ++i) {
         budget.recordSuccess();
     }
-    BOOST_TEST(takeAll(budget, clock) == 20);
+    BOOST_TEST(spendAll(budget, clock) == 20);
 }
 
-BOOST_AUTO_TEST_CASE(withoutSuccessOnlyTheFloor)
+BOOST_AUTO_TEST_CASE(withoutSuccessesOnlyTimeEarnsTokens)
 {
     qz::ManualClock clock;
     qz::RetryBudget budget({ 0.1, 2.0, 100.0 }, clock.now());
-    int taken = 0;
+    int spent = 0;
     for (int i = 0; i < 1000; ++i) { // 1,000 failures in 10 s.
         clock.advance(std::chrono::milliseconds(10));
-        taken += budget.tryAcquire(clock.now()) ? 1 : 0;
+        spent += budget.tryAcquire(clock.now()) ? 1 : 0;
     }
-    BOOST_TEST(taken >= 19);
-    BOOST_TEST(taken <= 20);
+    BOOST_TEST(spent >= 19);
+    BOOST_TEST(spent <= 20);
 }
 
-BOOST_AUTO_TEST_CASE(savesNoMoreThanItsLimit)
+BOOST_AUTO_TEST_CASE(savesAtMostTheMaximumNumberOfTokens)
 {
     qz::ManualClock clock;
     qz::RetryBudget budget({ 0.1, 1.0, 5.0 }, clock.now());
@@ -51,7 +51,7 @@
         budget.recordSuccess();
     }
     clock.advance(std::chrono::hours(1));
-    BOOST_TEST(takeAll(budget, clock) == 5);
+    BOOST_TEST(spendAll(budget, clock) == 5);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/packages/qz_entries/tests/serverchoosertest.cpp
+++ b/packages/qz_entries/tests/serverchoosertest.cpp
@@ -1,4 +1,4 @@
-// Tests of the choice of the backend server.
+// Tests of the server choice policies.
 #include "qz_entries/choice/serverchooser.h"
 
 #include <boost/test/unit_test.hpp>
@@ -48,7 +48,7 @@
 
 BOOST_AUTO_TEST_SUITE(serverChooser)
 
-BOOST_AUTO_TEST_CASE(neverChoosesWeightZero)
+BOOST_AUTO_TEST_CASE(neverChoosesACandidateWithWeightZero)
 {
     for (const auto &policy : allPolicies) {
         const auto counts = countChoices(policy,
@@ -73,7 +73,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aColdServerRampsByWeight)
+BOOST_AUTO_TEST_CASE(aWarmingServerGetsRequestsInProportionToItsWeight)
 {
     for (const auto &policy : allPolicies) {
         std::vector<qz::ServerCandidate> candidates{ makeCandidate("cold", alexA, {}, 0.1) };
@@ -82,11 +82,11 @@
         }
         const auto counts = countChoices(policy, candidates, 9100);
         BOOST_TEST(counts.at("cold") > 50);
-        BOOST_TEST(counts.at("cold") < 250); // 1,000 would be a full server's.
+        BOOST_TEST(counts.at("cold") < 250); // A server with full weight would get about 1,000.
     }
 }
 
-BOOST_AUTO_TEST_CASE(theShorterOfTwoQueuesWins)
+BOOST_AUTO_TEST_CASE(choosesTheShorterOfTwoQueues)
 {
     const std::vector<qz::ServerCandidate> candidates{
         makeCandidate("long", alexA, milliseconds(50)),
@@ -97,7 +97,7 @@
     BOOST_TEST(countChoices(qz::RandomChoice(), candidates).at("long") > 1000);
 }
 
-BOOST_AUTO_TEST_CASE(localWhileItMeetsTheTargetEvenIfAnotherRegionIsFaster)
+BOOST_AUTO_TEST_CASE(choosesLocalWhileItMeetsTheTarget)
 {
     const auto counts = countChoices(
             qz::LocalFirstChoice(),
@@ -105,7 +105,7 @@
     BOOST_TEST(counts.at("local") == 3000);
 }
 
-BOOST_AUTO_TEST_CASE(remoteWhenLocalMissesTheTarget)
+BOOST_AUTO_TEST_CASE(choosesRemoteIfLocalMissesTheTarget)
 {
     const auto counts = countChoices(qz::LocalFirstChoice(),
                                      { makeCandidate("local", alexA, milliseconds(180)),
@@ -113,7 +113,7 @@
     BOOST_TEST(counts.at("remote") == 3000);
 }
 
-BOOST_AUTO_TEST_CASE(localWhenRemoteIsOnlyALittleSooner)
+BOOST_AUTO_TEST_CASE(choosesLocalIfRemoteIsOnlySlightlyFaster)
 {
     const auto counts = countChoices(qz::LocalFirstChoice(),
                                      { makeCandidate("local", alexA, milliseconds(180)),
@@ -121,7 +121,7 @@
     BOOST_TEST(counts.at("local") == 3000);
 }
 
-BOOST_AUTO_TEST_CASE(localWhenBothMissTheTarget)
+BOOST_AUTO_TEST_CASE(choosesLocalIfBothMissTheTarget)
 {
     const auto counts = countChoices(qz::LocalFirstChoice(),
                                      { makeCandidate("local", alexA, milliseconds(900)),
@@ -129,7 +129,7 @@
     BOOST_TEST(counts.at("local") == 3000);
 }
 
-BOOST_AUTO_TEST_CASE(anOldDigestIsTrustedLess)
+BOOST_AUTO_TEST_CASE(aDigestCountsLessWithAge)
 {
     auto old = makeCandidate("old", alexA, milliseconds(100));
     const auto recent = makeCandidate("recent", alexA, milliseconds(20));
