--- a/packages/qz_placement/health/serverhealth.cpp
+++ b/packages/qz_placement/health/serverhealth.cpp
@@ -1,4 +1,4 @@
-// Holds and trials of a backend server.
+// Implements the ejections and trials of a backend server.
 #include "qz_placement/health/serverhealth.h"
 
 #include <algorithm>
@@ -7,39 +7,39 @@
 
 namespace {
 
-/// Suspicion at which a server is held.
-constexpr double holdLevel = 1.0;
+/// Failure score at which a server is ejected.
+constexpr double ejectionScore = 1.0;
 
-/// The share of a new answer in the mean latency.
+/// Weight of a new answer in the mean latency.
 constexpr double latencyGain = 0.25;
 
-/// A connection that breaks sooner than this part of the time of the quickest answers was
-/// refused rather than lost with an answer.
-constexpr double earlyPart = 0.5;
+/// A connection that breaks earlier than this fraction of the fastest latency has refused the
+/// request rather than lost its answer.
+constexpr double earlyFraction = 0.5;
 
-/// How much of the quickest answer's time is added with each slower one, so that one odd
-/// answer does not count for ever.
-constexpr double quickestDrift = 0.01;
+/// Relative increase of the fastest latency with each answer, so that a single unusually fast
+/// answer loses its effect.
+constexpr double minLatencyDrift = 0.01;
 
-/// Evidence of one result. Sound servers answer with a failure, shed when full and lose an
-/// answer now and then, so these count in part only.
-double weightOf(TryResult result, bool isEarly)
+/// Returns the failure score of one result. Healthy servers occasionally return an error, shed
+/// requests at full load or lose an answer, so these results have a lower score.
+double scoreOf(AttemptResult result, bool isEarly)
 {
     switch (result) {
-    case TryResult::Cut:
+    case AttemptResult::Cut:
         return isEarly ? 1.0 : 0.6;
-    case TryResult::Silent:
-    case TryResult::TimedOut:
-    case TryResult::ConnectFailed:
-    case TryResult::WrongInstance:
+    case AttemptResult::Silent:
+    case AttemptResult::TimedOut:
+    case AttemptResult::ConnectFailed:
+    case AttemptResult::WrongInstance:
         return 1.0;
-    case TryResult::ServerError:
+    case AttemptResult::ServerError:
         return 0.6;
-    case TryResult::Shed:
-    case TryResult::Overtaken:
+    case AttemptResult::Shed:
+    case AttemptResult::Overtaken:
         return 0.4;
-    case TryResult::Answered:
-    case TryResult::Cancelled:
+    case AttemptResult::Answered:
+    case AttemptResult::Cancelled:
         break;
     }
     return 0.0;
@@ -47,40 +47,40 @@
 
 } // namespace
 
-std::string_view toString(TryResult result)
+std::string_view toString(AttemptResult result)
 {
     switch (result) {
-    case TryResult::Answered:
+    case AttemptResult::Answered:
         return "answered";
-    case TryResult::ServerError:
+    case AttemptResult::ServerError:
         return "server-error";
-    case TryResult::Shed:
+    case AttemptResult::Shed:
         return "shed";
-    case TryResult::Cut:
+    case AttemptResult::Cut:
         return "cut";
-    case TryResult::Silent:
+    case AttemptResult::Silent:
         return "silent";
-    case TryResult::TimedOut:
+    case AttemptResult::TimedOut:
         return "timed-out";
-    case TryResult::ConnectFailed:
+    case AttemptResult::ConnectFailed:
         return "connect-failed";
-    case TryResult::WrongInstance:
+    case AttemptResult::WrongInstance:
         return "wrong-instance";
-    case TryResult::Overtaken:
+    case AttemptResult::Overtaken:
         return "overtaken";
-    case TryResult::Cancelled:
+    case AttemptResult::Cancelled:
         break;
     }
     return "cancelled";
 }
 
-bool isOfServer(TryResult result)
+bool isServerFault(AttemptResult result)
 {
-    return result == TryResult::Cut || result == TryResult::ServerError
-            || result == TryResult::WrongInstance;
+    return result == AttemptResult::Cut || result == AttemptResult::ServerError
+            || result == AttemptResult::WrongInstance;
 }
 
-ServerHealth::ServerHealth(HealthLimits limits)
+ServerHealth::ServerHealth(EjectionLimits limits)
     : limits_(limits)
 {
 }
@@ -90,70 +90,71 @@
     if (trialsLeft_ == 0) {
         return State::Good;
     }
-    return now < heldUntil_ ? State::Held : State::Trial;
+    return now < ejectedUntil_ ? State::Ejected : State::Trial;
 }
 
-bool ServerHealth::record(TryResult result, Duration took, bool isRepeatable, TimePoint now)
+bool ServerHealth::record(AttemptResult result, Duration latency, bool isRepeatable, TimePoint now)
 {
-    if (result == TryResult::Cancelled) {
+    if (result == AttemptResult::Cancelled) {
         return false;
     }
-    if (result == TryResult::Answered) {
+    if (result == AttemptResult::Answered) {
         const double gain = meanLatency_ == Duration::zero() ? 1.0 : latencyGain;
-        meanLatency_ += std::chrono::duration_cast<Duration>((took - meanLatency_) * gain);
-        quickest_ += std::chrono::duration_cast<Duration>(quickest_ * quickestDrift);
-        quickest_ = quickest_ == Duration::zero() ? took : std::min(quickest_, took);
-        suspicion_ /= 2.0;
-        // Answers to requests from before the hold say nothing of the trial.
-        if (trialsLeft_ > 0 && now - took >= heldSince_ && --trialsLeft_ == 0) {
-            heldUntil_ = std::min(heldUntil_, now);
-            nextHold_ = Duration::zero();
+        meanLatency_ += std::chrono::duration_cast<Duration>((latency - meanLatency_) * gain);
+        minLatency_ += std::chrono::duration_cast<Duration>(minLatency_ * minLatencyDrift);
+        minLatency_ = minLatency_ == Duration::zero() ? latency : std::min(minLatency_, latency);
+        failureScore_ /= 2.0;
+        // An answer to a request sent before the ejection is not a result of the trial.
+        if (trialsLeft_ > 0 && now - latency >= ejectedSince_ && --trialsLeft_ == 0) {
+            ejectedUntil_ = std::min(ejectedUntil_, now);
+            nextEjectionTime_ = Duration::zero();
         }
         return false;
     }
-    // A queue lengthens the mean, not the quickest answers.
-    const bool isEarly = quickest_ == Duration::zero() || took < quickest_ * earlyPart;
-    suspicion_ += weightOf(result, isEarly);
+    // Compared with the fastest latency, because queueing increases the mean latency.
+    const bool isEarly = minLatency_ == Duration::zero() || latency < minLatency_ * earlyFraction;
+    failureScore_ += scoreOf(result, isEarly);
     const bool isOnTrial = trialsLeft_ > 0;
-    if (suspicion_ < holdLevel && !isOnTrial) {
+    if (failureScore_ < ejectionScore && !isOnTrial) {
         return false;
     }
-    // Requests that were under way when the hold began fail together; they are one failure.
-    const bool wasUnderWay = trialsLeft_ > 0 && now - took < heldSince_;
-    if (!wasUnderWay) {
-        hold(!isRepeatable && isEarly && isOfServer(result), now);
+    // Requests in flight at the start of the ejection fail together and count as one failure.
+    const bool wasInFlight = trialsLeft_ > 0 && now - latency < ejectedSince_;
+    if (!wasInFlight) {
+        eject(!isRepeatable && isEarly && isServerFault(result), now);
         return true;
     }
     return false;
 }
 
-void ServerHealth::hold(bool isCostly, TimePoint now)
+void ServerHealth::eject(bool isTrialCostly, TimePoint now)
 {
-    const Duration first = isCostly ? limits_.firstCostlyHold_ : limits_.firstHold_;
-    const Duration length = std::max(first, nextHold_);
-    heldSince_ = now;
-    heldUntil_ = now + length;
-    nextHold_ = std::min(length * 2, limits_.longestHold_);
+    const Duration minTime =
+            isTrialCostly ? limits_.nonRepeatableBaseEjectionTime_ : limits_.baseEjectionTime_;
+    const Duration length = std::max(minTime, nextEjectionTime_);
+    ejectedSince_ = now;
+    ejectedUntil_ = now + length;
+    nextEjectionTime_ = std::min(length * 2, limits_.maxEjectionTime_);
     trialsLeft_ = limits_.trialSuccesses_;
-    suspicion_ = 0.0;
+    failureScore_ = 0.0;
 }
 
-void ServerHealth::adoptHold(Duration hold, TimePoint now)
+void ServerHealth::applyReportedEjection(Duration remaining, TimePoint now)
 {
-    heldSince_ = now;
-    heldUntil_ = std::max(heldUntil_, now + std::min(hold, limits_.longestHold_));
+    ejectedSince_ = now;
+    ejectedUntil_ = std::max(ejectedUntil_, now + std::min(remaining, limits_.maxEjectionTime_));
     trialsLeft_ = std::max(trialsLeft_, 1);
 }
 
-void ServerHealth::adoptRecovery(TimePoint now)
+void ServerHealth::applyReportedRecovery(TimePoint now)
 {
-    heldUntil_ = std::min(heldUntil_, now);
+    ejectedUntil_ = std::min(ejectedUntil_, now);
     trialsLeft_ = 0;
-    suspicion_ = 0.0;
-    nextHold_ = Duration::zero();
+    failureScore_ = 0.0;
+    nextEjectionTime_ = Duration::zero();
 }
 
-double ServerHealth::slowness(Duration expected) const
+double ServerHealth::relativeLatency(Duration expected) const
 {
     if (meanLatency_ == Duration::zero() || expected <= Duration::zero()) {
         return 1.0;
--- a/packages/qz_placement/tests/placementtest.cpp
+++ b/packages/qz_placement/tests/placementtest.cpp
@@ -1,14 +1,14 @@
-// Tests of single decisions: where a request goes, when a server is held, when a second try
-// may be sent.
+// Tests of single decisions: which server a request is sent to, when a server is ejected, and when
+// a retry may be sent.
 #include "qz_placement/qz_placement.h"
 
 #include <boost/test/unit_test.hpp>
 
 using namespace std::chrono_literals;
+using qz::AttemptResult;
 using qz::Distance;
-using qz::ServerDuty;
 using qz::ServerHealth;
-using qz::TryResult;
+using qz::ServerRole;
 
 namespace {
 
@@ -29,7 +29,7 @@
     qz::PlacementRequest request;
     request.target_ = 500ms;
     request.timeLeft_ = 1500ms;
-    request.expected_ = 200ms;
+    request.expectedLatency_ = 200ms;
     return request;
 }
 
@@ -41,26 +41,26 @@
     return placement->index_;
 }
 
-/// A server that failed at @p at.
-ServerHealth makeHeld(qz::TimePoint at, bool isRepeatable = true)
+/// The health of a server that was ejected at @p at.
+ServerHealth makeEjected(qz::TimePoint at, bool isRepeatable = true)
 {
     ServerHealth health;
-    health.record(TryResult::Cut, 1ms, isRepeatable, at);
+    health.record(AttemptResult::Cut, 1ms, isRepeatable, at);
     return health;
 }
 
-qz::PlacementCandidate makeHeldCandidate(const ServerHealth &health, qz::TimePoint now)
+qz::PlacementCandidate makeEjectedCandidate(const ServerHealth &health, qz::TimePoint now)
 {
     auto candidate = makeCandidate(Distance::SameDomain, 0);
     candidate.state_ = health.state(now);
-    candidate.heldUntil_ = health.heldUntil();
-    candidate.heldSince_ = health.heldSince();
+    candidate.ejectedUntil_ = health.ejectedUntil();
+    candidate.ejectedSince_ = health.ejectedSince();
     return candidate;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(workStaysInItsDomainUntilItWouldWaitLongerThanDistanceCosts)
+BOOST_AUTO_TEST_CASE(prefersItsOwnDomainUntilQueueingCostsMoreThanDistance)
 {
     BOOST_TEST(choose({ makeCandidate(Distance::SameRegion, 0),
                         makeCandidate(Distance::SameDomain, 1) })
@@ -73,15 +73,15 @@
                == 1);
 }
 
-BOOST_AUTO_TEST_CASE(workStaysWithOwnedServersUntilItWouldWaitThere)
+BOOST_AUTO_TEST_CASE(prefersOwnedServersUntilRequestsQueueThere)
 {
     auto other = makeCandidate(Distance::SameDomain, 0);
-    other.duty_ = ServerDuty::None;
+    other.serverRole_ = ServerRole::None;
     BOOST_TEST(choose({ other, makeCandidate(Distance::SameDomain, 1) }) == 1);
     BOOST_TEST(choose({ other, makeCandidate(Distance::SameDomain, 2) }) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(aRequestThatNoServerCanAnswerInTimeIsNotPlaced)
+BOOST_AUTO_TEST_CASE(choosesNoServerIfNoneCanAnswerInTime)
 {
     auto request = makeRequest();
     request.timeLeft_ = 100ms;
@@ -91,212 +91,216 @@
                                 start));
 }
 
-BOOST_AUTO_TEST_CASE(aServerOnWhichARequestWaitsLongIsTakenForSlow)
+BOOST_AUTO_TEST_CASE(treatsAServerWithALongUnansweredRequestAsSlow)
 {
-    auto stuck = makeCandidate(Distance::SameDomain, 1);
-    stuck.oldestWait_ = 900ms;
-    BOOST_TEST(choose({ stuck, makeCandidate(Distance::SameDomain, 1) }) == 1);
+    auto slow = makeCandidate(Distance::SameDomain, 1);
+    slow.oldestRequestAge_ = 900ms;
+    BOOST_TEST(choose({ slow, makeCandidate(Distance::SameDomain, 1) }) == 1);
 }
 
-BOOST_AUTO_TEST_CASE(aResetAtOnceHoldsAServerAndOneInPlaceOfAnAnswerDoesNot)
+BOOST_AUTO_TEST_CASE(anImmediateResetEjectsAServerButALateResetDoesNot)
 {
     ServerHealth health;
-    BOOST_TEST(!health.record(TryResult::Answered, 200ms, false, start));
-    BOOST_TEST(!health.record(TryResult::Cut, 190ms, false, start));
+    BOOST_TEST(!health.record(AttemptResult::Answered, 200ms, false, start));
+    BOOST_TEST(!health.record(AttemptResult::Cut, 190ms, false, start));
     BOOST_CHECK(health.state(start) == ServerHealth::State::Good);
-    BOOST_TEST(health.record(TryResult::Cut, 1ms, false, start));
-    BOOST_CHECK(health.state(start) == ServerHealth::State::Held);
+    BOOST_TEST(health.record(AttemptResult::Cut, 1ms, false, start));
+    BOOST_CHECK(health.state(start) == ServerHealth::State::Ejected);
 }
 
-BOOST_AUTO_TEST_CASE(aLostAnswerIsNotTakenForARefusalWhereAnswersWaitInAQueue)
+BOOST_AUTO_TEST_CASE(queuedAnswersDoNotMakeALateResetCountAsImmediate)
 {
     ServerHealth health;
     for (int i = 0; i < 20; ++i) {
-        health.record(TryResult::Answered, i % 5 == 0 ? 180ms : 900ms, false, start);
+        health.record(AttemptResult::Answered, i % 5 == 0 ? 180ms : 900ms, false, start);
     }
-    BOOST_TEST(!health.record(TryResult::Cut, 150ms, false, start));
-    health.record(TryResult::Answered, 900ms, false, start);
-    BOOST_TEST(health.record(TryResult::Cut, 2ms, false, start));
+    BOOST_TEST(!health.record(AttemptResult::Cut, 150ms, false, start));
+    health.record(AttemptResult::Answered, 900ms, false, start);
+    BOOST_TEST(health.record(AttemptResult::Cut, 2ms, false, start));
 }
 
-BOOST_AUTO_TEST_CASE(aRareServerErrorHoldsNobodyAndTwoInARowDo)
+BOOST_AUTO_TEST_CASE(twoConsecutiveServerErrorsEjectAServerButRareOnesDoNot)
 {
     ServerHealth health;
     for (int i = 0; i < 49; ++i) {
-        const auto result = i % 10 == 9 ? TryResult::ServerError : TryResult::Answered;
+        const auto result = i % 10 == 9 ? AttemptResult::ServerError : AttemptResult::Answered;
         BOOST_TEST(!health.record(result, 200ms, true, start));
     }
-    BOOST_TEST(!health.record(TryResult::ServerError, 200ms, true, start));
-    BOOST_TEST(health.record(TryResult::ServerError, 200ms, true, start));
+    BOOST_TEST(!health.record(AttemptResult::ServerError, 200ms, true, start));
+    BOOST_TEST(health.record(AttemptResult::ServerError, 200ms, true, start));
 }
 
-BOOST_AUTO_TEST_CASE(requestsThatFailTogetherAreOneFailure)
+BOOST_AUTO_TEST_CASE(concurrentFailuresCountAsOne)
 {
     ServerHealth health;
-    health.record(TryResult::Cut, 1ms, true, start);
-    const auto until = health.heldUntil();
-    BOOST_TEST(!health.record(TryResult::Cut, 20ms, true, start + 10ms));
-    BOOST_CHECK(health.heldUntil() == until);
+    health.record(AttemptResult::Cut, 1ms, true, start);
+    const auto until = health.ejectedUntil();
+    BOOST_TEST(!health.record(AttemptResult::Cut, 20ms, true, start + 10ms));
+    BOOST_CHECK(health.ejectedUntil() == until);
 }
 
-BOOST_AUTO_TEST_CASE(aFailedTrialWithinAHoldProlongsIt)
+BOOST_AUTO_TEST_CASE(aFailedEarlyTrialRestartsTheEjection)
 {
-    ServerHealth health = makeHeld(start, false);
-    const auto until = health.heldUntil();
+    ServerHealth health = makeEjected(start, false);
+    const auto until = health.ejectedUntil();
     const auto now = start + 3s;
-    BOOST_TEST(health.record(TryResult::Cut, 1ms, false, now));
-    BOOST_CHECK(health.heldSince() == now);
-    BOOST_CHECK(health.heldUntil() > until);
+    BOOST_TEST(health.record(AttemptResult::Cut, 1ms, false, now));
+    BOOST_CHECK(health.ejectedSince() == now);
+    BOOST_CHECK(health.ejectedUntil() > until);
 }
 
-BOOST_AUTO_TEST_CASE(holdsGrowWithFailedTrialsAndEndAfterTwoAnswers)
+BOOST_AUTO_TEST_CASE(ejectionsGrowWithFailedTrialsAndEndAfterTwoAnswers)
 {
-    ServerHealth health = makeHeld(start);
-    qz::TimePoint now = health.heldUntil();
+    ServerHealth health = makeEjected(start);
+    qz::TimePoint now = health.ejectedUntil();
     BOOST_CHECK(health.state(now) == ServerHealth::State::Trial);
-    BOOST_TEST(health.record(TryResult::Cut, 1ms, true, now));
-    BOOST_CHECK(health.heldUntil() - now > qz::HealthLimits().firstHold_);
-    now = health.heldUntil();
-    health.record(TryResult::Answered, 200ms, true, now);
+    BOOST_TEST(health.record(AttemptResult::Cut, 1ms, true, now));
+    BOOST_CHECK(health.ejectedUntil() - now > qz::EjectionLimits().baseEjectionTime_);
+    now = health.ejectedUntil();
+    health.record(AttemptResult::Answered, 200ms, true, now);
     BOOST_CHECK(health.state(now) == ServerHealth::State::Trial);
-    health.record(TryResult::Answered, 200ms, true, now);
+    health.record(AttemptResult::Answered, 200ms, true, now);
     BOOST_CHECK(health.state(now) == ServerHealth::State::Good);
     for (int i = 0; i < 10; ++i) {
-        health.record(TryResult::Cut, 1ms, true, health.heldUntil());
+        health.record(AttemptResult::Cut, 1ms, true, health.ejectedUntil());
     }
-    BOOST_CHECK(health.heldUntil() - health.heldSince() <= qz::HealthLimits().longestHold_);
+    BOOST_CHECK(health.ejectedUntil() - health.ejectedSince()
+                <= qz::EjectionLimits().maxEjectionTime_);
 }
 
-BOOST_AUTO_TEST_CASE(aTrialWithinAHoldEndsItWithTwoAnswersToRequestsOfTheTrial)
+BOOST_AUTO_TEST_CASE(twoAnswersToAnEarlyTrialEndTheEjection)
 {
-    ServerHealth health = makeHeld(start, false);
+    ServerHealth health = makeEjected(start, false);
     const auto now = start + 3s;
-    health.record(TryResult::Answered, 4s, false, now);
-    health.record(TryResult::Answered, 4s, false, now);
-    BOOST_CHECK(health.state(now) == ServerHealth::State::Held);
-    health.record(TryResult::Answered, 200ms, false, now);
-    health.record(TryResult::Answered, 200ms, false, now);
+    health.record(AttemptResult::Answered, 4s, false, now);
+    health.record(AttemptResult::Answered, 4s, false, now);
+    BOOST_CHECK(health.state(now) == ServerHealth::State::Ejected);
+    health.record(AttemptResult::Answered, 200ms, false, now);
+    health.record(AttemptResult::Answered, 200ms, false, now);
     BOOST_CHECK(health.state(now) == ServerHealth::State::Good);
 }
 
-BOOST_AUTO_TEST_CASE(aTrialThatCostsARequestComesLaterUnlessTheServerIsNeeded)
+BOOST_AUTO_TEST_CASE(aNonRepeatableTrialIsSentLaterUnlessTheServerIsNeeded)
 {
-    const ServerHealth health = makeHeld(start, false);
+    const ServerHealth health = makeEjected(start, false);
     const auto good = makeCandidate(Distance::SameDomain, 0);
     auto busy = good;
     busy.inFlight_ = 2;
     const auto now = start + 3s;
-    BOOST_TEST(choose({ makeHeldCandidate(health, now), good }, makeRequest(), now) == 1);
-    BOOST_TEST(choose({ makeHeldCandidate(health, now), busy }, makeRequest(), now) == 0);
-    auto crowded = makeRequest();
-    crowded.isCrowded_ = true;
-    BOOST_TEST(choose({ makeHeldCandidate(health, now), good }, crowded, now) == 0);
-    const auto later = start + qz::HealthLimits().firstCostlyHold_;
-    BOOST_TEST(choose({ makeHeldCandidate(health, later), good }, makeRequest(), later) == 0);
+    BOOST_TEST(choose({ makeEjectedCandidate(health, now), good }, makeRequest(), now) == 1);
+    BOOST_TEST(choose({ makeEjectedCandidate(health, now), busy }, makeRequest(), now) == 0);
+    auto congested = makeRequest();
+    congested.isCongested_ = true;
+    BOOST_TEST(choose({ makeEjectedCandidate(health, now), good }, congested, now) == 0);
+    const auto later = start + qz::EjectionLimits().nonRepeatableBaseEjectionTime_;
+    BOOST_TEST(choose({ makeEjectedCandidate(health, later), good }, makeRequest(), later) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(onlyTheOwnerTriesAHeldServerSoon)
+BOOST_AUTO_TEST_CASE(onlyTheOwnerSendsATrialAtTheEndOfTheEjection)
 {
-    const ServerHealth health = makeHeld(start);
-    const auto now = health.heldUntil() + 10ms;
-    auto held = makeHeldCandidate(health, now);
-    held.duty_ = ServerDuty::None;
-    BOOST_TEST(choose({ held, makeCandidate(Distance::SameDomain, 0) }, makeRequest(), now) == 1);
-    const auto later = health.heldUntil() + qz::PlacementCosts().foreignTrialDelay_;
-    BOOST_TEST(choose({ held, makeCandidate(Distance::SameDomain, 0) }, makeRequest(), later) == 0);
+    const ServerHealth health = makeEjected(start);
+    const auto now = health.ejectedUntil() + 10ms;
+    auto ejected = makeEjectedCandidate(health, now);
+    ejected.serverRole_ = ServerRole::None;
+    BOOST_TEST(choose({ ejected, makeCandidate(Distance::SameDomain, 0) }, makeRequest(), now)
+               == 1);
+    const auto later = health.ejectedUntil() + qz::PlacementSettings().nonOwnerTrialDelay_;
+    BOOST_TEST(choose({ ejected, makeCandidate(Distance::SameDomain, 0) }, makeRequest(), later)
+               == 0);
 }
 
-BOOST_AUTO_TEST_CASE(whereAllServersAreHeldTheOneWhoseHoldEndsFirstIsTaken)
+BOOST_AUTO_TEST_CASE(ifAllServersAreEjectedChoosesTheOneWhoseEjectionEndsFirst)
 {
-    const ServerHealth first = makeHeld(start);
-    const ServerHealth second = makeHeld(start + 500ms);
+    const ServerHealth first = makeEjected(start);
+    const ServerHealth second = makeEjected(start + 500ms);
     const auto now = start + 600ms;
-    BOOST_TEST(choose({ makeHeldCandidate(second, now), makeHeldCandidate(first, now) },
+    BOOST_TEST(choose({ makeEjectedCandidate(second, now), makeEjectedCandidate(first, now) },
                       makeRequest(), now)
                == 1);
 }
 
-BOOST_AUTO_TEST_CASE(whileManyFailIdleServersGetWorkAndHoldsGiveWay)
+BOOST_AUTO_TEST_CASE(whileManyRequestsFailIdleServersAndEarlyTrialsAreUsed)
 {
     auto idle = makeCandidate(Distance::SameDomain, 0);
-    idle.slowness_ = 1.5;
-    idle.duty_ = ServerDuty::Deputy;
-    auto used = makeCandidate(Distance::SameDomain, 0);
+    idle.relativeLatency_ = 1.5;
+    idle.serverRole_ = ServerRole::Backup;
+    auto active = makeCandidate(Distance::SameDomain, 0);
     const auto now = start + 3s;
-    used.lastSent_ = now;
+    active.lastSent_ = now;
     auto request = makeRequest();
-    BOOST_TEST(choose({ idle, used }, request, now) == 1);
-    request.isSpread_ = true;
-    BOOST_TEST(choose({ idle, used }, request, now) == 0);
-    request.isSpread_ = false;
-    idle.duty_ = ServerDuty::Owner;
-    BOOST_TEST(choose({ idle, used }, request, now) == 0);
-    idle.duty_ = ServerDuty::Deputy;
-    request.isSpread_ = true;
-    const ServerHealth held = makeHeld(start, false);
+    BOOST_TEST(choose({ idle, active }, request, now) == 1);
+    request.shouldSpread_ = true;
+    BOOST_TEST(choose({ idle, active }, request, now) == 0);
+    request.shouldSpread_ = false;
+    idle.serverRole_ = ServerRole::Owner;
+    BOOST_TEST(choose({ idle, active }, request, now) == 0);
+    idle.serverRole_ = ServerRole::Backup;
+    request.shouldSpread_ = true;
+    const ServerHealth ejected = makeEjected(start, false);
     idle.lastSent_ = now;
-    BOOST_TEST(choose({ makeHeldCandidate(held, now), idle, used }, request, now) == 0);
+    BOOST_TEST(choose({ makeEjectedCandidate(ejected, now), idle, active }, request, now) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(whileManyFailTheLongestHeldServersAreTriedUntilFewAreLeftOut)
+BOOST_AUTO_TEST_CASE(whileManyRequestsFailTrialsLimitTheShareOfEjectedServers)
 {
-    // Only a part of a service's servers may be free of disruption; of those, more can be held
-    // than of all of them, so the limit is half of what the floor leaves.
-    const ServerHealth first = makeHeld(start, false);
-    const ServerHealth second = makeHeld(start + 100ms, false);
-    const auto now = start + 100ms + qz::PlacementCosts().neededHold_;
+    // The floor counts only the servers without a disruption. The ejected share of these can be
+    // higher than that of all servers, so the limit is half of what the floor allows.
+    const ServerHealth first = makeEjected(start, false);
+    const ServerHealth second = makeEjected(start + 100ms, false);
+    const auto now = start + 100ms + qz::PlacementSettings().ownerEarlyTrialDelay_;
     auto good = makeCandidate(Distance::SameDomain, 0);
     good.lastSent_ = now;
     std::vector<qz::PlacementCandidate> candidates(8, good);
-    candidates.push_back(makeHeldCandidate(second, now));
-    candidates.push_back(makeHeldCandidate(first, now));
+    candidates.push_back(makeEjectedCandidate(second, now));
+    candidates.push_back(makeEjectedCandidate(first, now));
     auto request = makeRequest();
     BOOST_TEST(choose(candidates, request, now) < 8);
-    request.isSpread_ = true;
+    request.shouldSpread_ = true;
     BOOST_TEST(choose(candidates, request, now) == 9);
     candidates.pop_back();
     BOOST_TEST(choose(candidates, request, now) < 8);
 }
 
-BOOST_AUTO_TEST_CASE(whileManyFailTheDeputyTriesAHeldServerThatItsOwnerDoesNot)
+BOOST_AUTO_TEST_CASE(whileManyRequestsFailTheBackupSendsATrialIfTheOwnerDoesNot)
 {
-    const ServerHealth health = makeHeld(start, false);
+    const ServerHealth health = makeEjected(start, false);
     auto good = makeCandidate(Distance::SameDomain, 0);
     auto request = makeRequest();
-    request.isSpread_ = true;
-    const auto chooseAt = [&](qz::TimePoint now, ServerDuty duty) {
-        auto held = makeHeldCandidate(health, now);
-        held.duty_ = duty;
-        held.distance_ = Distance::OtherRegion;
+    request.shouldSpread_ = true;
+    const auto chooseAt = [&](qz::TimePoint now, ServerRole role) {
+        auto ejected = makeEjectedCandidate(health, now);
+        ejected.serverRole_ = role;
+        ejected.distance_ = Distance::OtherRegion;
         good.lastSent_ = now;
-        return choose({ good, held }, request, now);
+        return choose({ good, ejected }, request, now);
     };
-    const auto deputyTime = start + qz::PlacementCosts().neededDeputyHold_;
-    BOOST_TEST(chooseAt(start + qz::PlacementCosts().neededHold_, ServerDuty::Deputy) == 0);
-    BOOST_TEST(chooseAt(deputyTime, ServerDuty::Deputy) == 1);
-    BOOST_TEST(chooseAt(deputyTime, ServerDuty::None) == 0);
+    const auto backupTime = start + qz::PlacementSettings().backupEarlyTrialDelay_;
+    BOOST_TEST(chooseAt(start + qz::PlacementSettings().ownerEarlyTrialDelay_, ServerRole::Backup)
+               == 0);
+    BOOST_TEST(chooseAt(backupTime, ServerRole::Backup) == 1);
+    BOOST_TEST(chooseAt(backupTime, ServerRole::None) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(aNoteOfAFailureWithinAHoldStartsItAnew)
+BOOST_AUTO_TEST_CASE(aReportedEjectionRestartsTheCurrentOne)
 {
-    ServerHealth health = makeHeld(start, false);
+    ServerHealth health = makeEjected(start, false);
     const auto now = start + 2s;
-    health.adoptHold(6s, now);
-    BOOST_CHECK(health.heldSince() == now);
-    BOOST_CHECK(health.heldUntil() == now + 6s);
+    health.applyReportedEjection(6s, now);
+    BOOST_CHECK(health.ejectedSince() == now);
+    BOOST_CHECK(health.ejectedUntil() == now + 6s);
 }
 
-BOOST_AUTO_TEST_CASE(failuresOfTheWaySayNothingToOthers)
+BOOST_AUTO_TEST_CASE(failuresOfTheNetworkPathAreNotServerFaults)
 {
-    BOOST_TEST(qz::isOfServer(TryResult::Cut));
-    BOOST_TEST(qz::isOfServer(TryResult::ServerError));
-    BOOST_TEST(!qz::isOfServer(TryResult::ConnectFailed));
-    BOOST_TEST(!qz::isOfServer(TryResult::Silent));
-    BOOST_TEST(!qz::isOfServer(TryResult::TimedOut));
-    BOOST_TEST(!qz::isOfServer(TryResult::Shed));
+    BOOST_TEST(qz::isServerFault(AttemptResult::Cut));
+    BOOST_TEST(qz::isServerFault(AttemptResult::ServerError));
+    BOOST_TEST(!qz::isServerFault(AttemptResult::ConnectFailed));
+    BOOST_TEST(!qz::isServerFault(AttemptResult::Silent));
+    BOOST_TEST(!qz::isServerFault(AttemptResult::TimedOut));
+    BOOST_TEST(!qz::isServerFault(AttemptResult::Shed));
 }
 
-BOOST_AUTO_TEST_CASE(theRetryBudgetOfAllInstancesHoldsInEachWindow)
+BOOST_AUTO_TEST_CASE(allInstancesTogetherKeepToTheRetryBudgetInEachWindow)
 {
     qz::RetryBudgetLimits limits;
     limits.ratio_ = 0.2;
@@ -307,14 +311,15 @@
     std::vector<qz::TimePoint> retries;
     std::vector<qz::TimePoint> requests;
     for (qz::TimePoint now = start; now < start + 60s; now += 50ms) {
-        // A pause in the requests is the hardest case: the ratio shrinks, the slack does not.
+        // A pause in the requests is the worst case: fewer requests reduce the retries that the
+        // ratio allows, but not the slack.
         const bool isBusy = (now - start) % 20s < 8s;
         for (auto &allowance : allowances) {
             if (isBusy) {
                 allowance.countRequest(now);
                 requests.push_back(now);
             }
-            if (allowance.take(now)) {
+            if (allowance.tryAcquire(now)) {
                 retries.push_back(now);
             }
         }
@@ -325,48 +330,48 @@
                 return time >= from && time < from + limits.window_;
             });
         };
-        const auto most = std::max({ countIn(requests, begin), countIn(requests, begin - 5s),
-                                     countIn(requests, begin - 10s) });
-        BOOST_TEST(countIn(retries, begin) <= limits.ratio_ * most + limits.slack_);
+        const auto maxRequests = std::max({ countIn(requests, begin), countIn(requests, begin - 5s),
+                                            countIn(requests, begin - 10s) });
+        BOOST_TEST(countIn(retries, begin) <= limits.ratio_ * maxRequests + limits.slack_);
     }
     BOOST_TEST(!retries.empty());
 }
 
-BOOST_AUTO_TEST_CASE(anInstanceWithoutAPartOfTheSlackSendsNoSecondTriesOfItsOwn)
+BOOST_AUTO_TEST_CASE(withoutRequestsOrASlackShareNoRetryIsAllowed)
 {
     qz::RetryBudgetLimits limits;
     limits.slack_ = 56.0;
     qz::RetryAllowance allowance(limits, 0.0);
-    BOOST_TEST(!allowance.take(start));
-    BOOST_TEST(allowance.used(start) == 1.0);
+    BOOST_TEST(!allowance.tryAcquire(start));
+    BOOST_TEST(allowance.usedShare(start) == 1.0);
 }
 
-BOOST_AUTO_TEST_CASE(theUnservedShareForgetsAndNeedsEnoughRequests)
+BOOST_AUTO_TEST_CASE(theFailureRateExpiresAndNeedsEnoughRequests)
 {
-    qz::ServedShare share;
+    qz::FailureRateTracker tracker;
     for (int i = 0; i < 11; ++i) {
-        share.record(false, start);
+        tracker.record(false, start);
     }
-    BOOST_TEST(share.unserved(start) == 0.0);
+    BOOST_TEST(tracker.failureRate(start) == 0.0);
     for (int i = 0; i < 9; ++i) {
-        share.record(true, start);
+        tracker.record(true, start);
     }
-    BOOST_TEST(share.unserved(start) == 11.0 / 20.0);
-    BOOST_TEST(share.unserved(start + 4s) == 0.0);
+    BOOST_TEST(tracker.failureRate(start) == 11.0 / 20.0);
+    BOOST_TEST(tracker.failureRate(start + 4s) == 0.0);
 }
 
-BOOST_AUTO_TEST_CASE(aSuddenRiseOfFailuresShowsWithinASecond)
+BOOST_AUTO_TEST_CASE(aSuddenRiseOfTheFailureRateShowsWithinOneSecond)
 {
-    qz::ServedShare share;
+    qz::FailureRateTracker tracker;
     auto now = start;
     for (int i = 0; i < 90; ++i, now += 33ms) {
-        share.record(true, now);
+        tracker.record(true, now);
     }
-    BOOST_TEST(share.unserved(now) == 0.0);
+    BOOST_TEST(tracker.failureRate(now) == 0.0);
     for (int i = 0; i < 24; ++i, now += 33ms) {
-        share.record(i % 5 != 0, now);
+        tracker.record(i % 5 != 0, now);
     }
-    BOOST_TEST(share.unserved(now) > qz::spreadLevel);
+    BOOST_TEST(tracker.failureRate(now) > qz::spreadFailureRate);
 }
 
 BOOST_AUTO_TEST_CASE(latencyEstimatesFollowTheAnswers)
@@ -376,17 +381,17 @@
     for (int i = 0; i < 400; ++i) {
         latency.record(std::chrono::milliseconds(100 + 10 * (i % 20)), start);
     }
-    BOOST_TEST(!latency.isCrowded());
+    BOOST_TEST(!latency.isCongested());
     BOOST_CHECK(latency.mean(1s) > 150ms && latency.mean(1s) < 240ms);
-    BOOST_CHECK(latency.high(1s) > 220ms && latency.high(1s) < 400ms);
+    BOOST_CHECK(latency.percentile90(1s) > 220ms && latency.percentile90(1s) < 400ms);
     for (int i = 0; i < 40; ++i) {
         latency.record(500ms, start + 30s);
     }
-    BOOST_TEST(latency.isCrowded());
-    // What lasts is not a flood.
+    BOOST_TEST(latency.isCongested());
+    // A lasting rise of the latency is not congestion.
     for (int i = 0; i < 40; ++i) {
         latency.record(500ms, start + 3min);
     }
     latency.record(500ms, start + 6min);
-    BOOST_TEST(!latency.isCrowded());
+    BOOST_TEST(!latency.isCongested());
 }
