--- a/packages/qz_health/detection/consecutiveerrorsdetector.h
+++ b/packages/qz_health/detection/consecutiveerrorsdetector.h
@@ -1,4 +1,4 @@
-// The detector ConsecutiveErrorsDetector.
+// Outlier detection by consecutive errors, for comparison.
 #pragma once
 
 #include "qz_health/detection/verdict.h"
@@ -8,7 +8,8 @@
 
 namespace qz {
 
-/// A server is failing after a number of errors in a row, whatever the others do. A baseline.
+/// Regards a server as failing after a number of consecutive errors, regardless of the other
+/// servers. Used to compare RelativeDetector with.
 /// @see OutlierDetector
 class ConsecutiveErrorsDetector
 {
--- a/packages/qz_health/detection/outlierdetector.h
+++ b/packages/qz_health/detection/outlierdetector.h
@@ -1,4 +1,4 @@
-// Outlier detection: one server against the other servers of its service.
+// Outlier detection: compares a backend server with the other servers of its service.
 #pragma once
 
 #include "qz_health/detection/consecutiveerrorsdetector.h"
@@ -10,8 +10,8 @@
 
 namespace qz {
 
-/// The detector in use, one of the alternatives; RelativeDetector is the chosen one, the
-/// others are baselines.
+/// Detects outliers by one of several policies. The default is RelativeDetector; the other policies
+/// exist for comparison.
 /// @see Verdict, WeightController, EjectionDecider
 class OutlierDetector
 {
@@ -21,8 +21,8 @@
     OutlierDetector() = default;
     explicit OutlierDetector(Policy policy);
 
-    /// Judges the server behind @p own; @p others are the digests of the service's other
-    /// servers.
+    /// Returns the verdict for the server that @p own describes. @p others are the digests of the
+    /// other servers of the service.
     Verdict evaluate(const EvidenceDigest &own, const std::vector<EvidenceDigest> &others) const;
 
 private:
--- a/packages/qz_health/detection/relativedetector.cpp
+++ b/packages/qz_health/detection/relativedetector.cpp
@@ -6,25 +6,27 @@
 
 namespace {
 
-constexpr double doubtScore = 4;  ///< From here on weights fall and probes are sent.
-constexpr double workScore = 4;   ///< Evidence of work that an ejection needs at least.
-constexpr double ejectScore = 14; ///< Evidence of work and probes together for an ejection.
-constexpr double unreachableScore = 12;
+constexpr double suspectScore = 4;      ///< From here on the weight is reduced and probes are sent.
+constexpr double minRequestScore = 4;   ///< Minimum score of requests for an ejection.
+constexpr double ejectScore = 14;       ///< Score of requests and probes together for an ejection.
+constexpr double unreachableScore = 12; ///< Connect score for an ejection.
 constexpr unsigned minSamples = 1;
-constexpr Duration minTroubleSpan = std::chrono::milliseconds(1200);
+constexpr Duration minUnhealthyTime = std::chrono::milliseconds(1200);
 
-/// How sure the evidence is: weightConfidence at doubtScore, ejectConfidence at @p ejectScore.
+/// Returns the confidence of @p score: weightConfidence up to suspectScore, then linear up to
+/// ejectConfidence at @p ejectScore.
 double confidenceOf(double score, double ejectScore)
 {
-    const double part = std::clamp((score - doubtScore) / (ejectScore - doubtScore), 0.0, 1.0);
+    const double part = std::clamp((score - suspectScore) / (ejectScore - suspectScore), 0.0, 1.0);
     return Verdict::weightConfidence
             + part * (Verdict::ejectConfidence - Verdict::weightConfidence);
 }
 
-/// The score that @p score reads, or 0 if the median of the other servers is in doubt as well:
-/// then the service is in trouble and not this server.
+/// Returns the score that @p score reads from @p own, or 0 if the median of the other servers
+/// reaches suspectScore as well: then the fault affects the whole service and not this server.
 template<typename Score>
-double relative(const EvidenceDigest &own, const std::vector<EvidenceDigest> &others, Score score)
+double relativeScore(const EvidenceDigest &own, const std::vector<EvidenceDigest> &others,
+                     Score score)
 {
     std::vector<double> scores;
     scores.reserve(others.size());
@@ -36,16 +38,16 @@
     }
     const auto middle = scores.begin() + static_cast<std::ptrdiff_t>(scores.size() / 2);
     std::nth_element(scores.begin(), middle, scores.end());
-    return *middle >= doubtScore ? 0 : score(own);
+    return *middle >= suspectScore ? 0 : score(own);
 }
 
-/// The highest confidence short of ejection, for trouble that is too young.
-constexpr double shortOfEjection = 0.99;
+/// Highest confidence of a server that must not be ejected yet.
+constexpr double maxConfidenceBelowEjection = 0.99;
 
 Verdict verdictOf(Verdict::State state, double confidence, const EvidenceDigest &own)
 {
-    if (own.unhealthyTime() < minTroubleSpan) {
-        confidence = std::min(confidence, shortOfEjection);
+    if (own.unhealthyTime() < minUnhealthyTime) {
+        confidence = std::min(confidence, maxConfidenceBelowEjection);
     }
     return Verdict{ state, confidence };
 }
@@ -61,18 +63,18 @@
 Verdict RelativeDetector::evaluate(const EvidenceDigest &own,
                                    const std::vector<EvidenceDigest> &others) const
 {
-    const double slow = relative(own, others, [](const auto &d) { return d.slowScore_; });
-    const double fail = relative(own, others, [](const auto &d) { return d.failScore_; });
-    const double work = std::max(slow, fail);
-    if (own.connectScore_ >= doubtScore) {
+    const double slow = relativeScore(own, others, [](const auto &d) { return d.slowScore_; });
+    const double fail = relativeScore(own, others, [](const auto &d) { return d.failScore_; });
+    const double requestScore = std::max(slow, fail);
+    if (own.connectScore_ >= suspectScore) {
         return verdictOf(Unreachable{}, confidenceOf(own.connectScore_, unreachableScore), own);
     }
-    if (work < doubtScore) {
+    if (requestScore < suspectScore) {
         return own.total() < minSamples ? Verdict{ NoEvidence{}, 0 } : Verdict{ Healthy{}, 1 };
     }
-    double confidence = confidenceOf(work + own.probeScore_, ejectScore);
-    if (work < workScore) {
-        confidence = std::min(confidence, shortOfEjection);
+    double confidence = confidenceOf(requestScore + own.probeScore_, ejectScore);
+    if (requestScore < minRequestScore) {
+        confidence = std::min(confidence, maxConfidenceBelowEjection);
     }
     if (fail >= slow) {
         return verdictOf(Failing{ failureRate(own) }, confidence, own);
--- a/packages/qz_health/detection/relativedetector.h
+++ b/packages/qz_health/detection/relativedetector.h
@@ -1,4 +1,4 @@
-// The detector RelativeDetector.
+// Outlier detection by likelihood scores; the default policy.
 #pragma once
 
 #include "qz_health/detection/verdict.h"
@@ -8,8 +8,9 @@
 
 namespace qz {
 
-/// The chosen detector: weighs the digest's scores, probes as a bounded part of them, and asks
-/// thatn/// trouble has lasted and that the service as a whole is not in the same trouble.
+/// Detects an outlier by the scores of its digest. The score of probes has bounded influence. A
+/// server can be ejected only after it has been unhealthy for a minimum time. A score of requests
+/// is ignored if the median of the other servers' scores is high as well.
 /// @see OutlierDetector
 class RelativeDetector
 {
--- a/packages/qz_health/detection/successratedetector.cpp
+++ b/packages/qz_health/detection/successratedetector.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr unsigned minRequests = 10; ///< In the sliding window, for a server to be judged.
-constexpr std::size_t minServers = 3;
-constexpr double deviationFactor = 1.9;
+constexpr unsigned minRequests = 10;    ///< In the sliding window, for a server to be evaluated.
+constexpr std::size_t minServers = 3;   ///< With at least minRequests each.
+constexpr double deviationFactor = 1.9; ///< In standard deviations below the mean.
 
 double successRate(const EvidenceDigest &digest)
 {
@@ -33,12 +33,12 @@
         return Verdict{ NoEvidence{}, 0 };
     }
     double mean = 0;
-    double square = 0;
+    double meanSquare = 0;
     for (const double rate : rates) {
         mean += rate / static_cast<double>(rates.size());
-        square += rate * rate / static_cast<double>(rates.size());
+        meanSquare += rate * rate / static_cast<double>(rates.size());
     }
-    const double deviation = std::sqrt(std::max(0.0, square - mean * mean));
+    const double deviation = std::sqrt(std::max(0.0, meanSquare - mean * mean));
     if (rates.front() < mean - deviationFactor * deviation) {
         return Verdict{ Failing{ 1 - rates.front() }, 1 };
     }
--- a/packages/qz_health/detection/successratedetector.h
+++ b/packages/qz_health/detection/successratedetector.h
@@ -1,4 +1,4 @@
-// The detector SuccessRateDetector.
+// Outlier detection by success rate, for comparison.
 #pragma once
 
 #include "qz_health/detection/verdict.h"
@@ -8,7 +8,8 @@
 
 namespace qz {
 
-/// A server is failing if its success rate is well below the mean of its service. A baseline.
+/// Regards a server as failing if its success rate is below the mean of its service by a number of
+/// standard deviations. Used to compare RelativeDetector with.
 /// @see OutlierDetector
 class SuccessRateDetector
 {
--- a/packages/qz_health/detection/verdict.h
+++ b/packages/qz_health/detection/verdict.h
@@ -1,4 +1,4 @@
-// What a detector concludes of one backend server.
+// The result of outlier detection for one backend server.
 #pragma once
 
 #include <variant>
@@ -16,33 +16,37 @@
 {
     double rate_ = 0; ///< Share of requests that fail, 0..1.
 };
+/// Connections to the server fail.
 struct Unreachable
 {
 };
+/// There is not enough evidence to compare the server.
 struct NoEvidence
 {
 };
 
-/// A conclusion and how sure it is.
+/// The detected state of a backend server, with a confidence.
 struct Verdict
 {
     using State = std::variant<NoEvidence, Healthy, Slow, Failing, Unreachable>;
 
     State state_;
-    /// 0..1. From weightConfidence on weights fall; from ejectConfidence on the server may be
-    /// proposed for ejection.
+    /// 0..1. From weightConfidence on the weight of an unhealthy server is reduced; from
+    /// ejectConfidence on the server can be proposed for ejection.
     double confidence_ = 0;
 
     static constexpr double weightConfidence = 0.3;
     static constexpr double ejectConfidence = 1.0;
 
-    /// The server is in trouble as far as the evidence goes.
+    /// Returns true if the state is neither Healthy nor NoEvidence, with any confidence.
     bool isUnhealthy() const
     {
         return !std::holds_alternative<Healthy>(state_)
                 && !std::holds_alternative<NoEvidence>(state_);
     }
+    /// Returns true if the server gets less weight and is probed.
     bool isSuspect() const { return isUnhealthy() && confidence_ >= weightConfidence; }
+    /// Returns true if the server can be proposed for ejection.
     bool allowsEjection() const { return isUnhealthy() && confidence_ >= ejectConfidence; }
 };
 
--- a/packages/qz_health/evidence/latencymodel.cpp
+++ b/packages/qz_health/evidence/latencymodel.cpp
@@ -7,12 +7,14 @@
 
 namespace {
 
-constexpr double minEndedRatio = -1.5;
-constexpr double maxEndedRatio = 3.0;
-constexpr double maxRunningRatio = 6.0;
+// Bounds of the ratio of one request, in nats.
+constexpr double minCompletedLogRatio = -1.5;
+constexpr double maxCompletedLogRatio = 3.0;
+constexpr double maxPendingLogRatio = 6.0;
 constexpr double minSeconds = 1e-4;
 
-/// The probability that a normal variable is above @p z, kept above zero.
+/// Returns the probability that a standard normal variable exceeds @p z; at least smallestTail, so
+/// that its logarithm is finite.
 double upperTail(double z)
 {
     constexpr double smallestTail = 1e-30;
@@ -31,7 +33,7 @@
 {
     const double residual = logSeconds(latency) - meanLog_;
     const double ratio = slowShift / (spreadLog_ * spreadLog_) * (residual - slowShift / 2);
-    return std::clamp(ratio, minEndedRatio, maxEndedRatio);
+    return std::clamp(ratio, minCompletedLogRatio, maxCompletedLogRatio);
 }
 
 double LatencyModel::pendingLogRatio(Duration age) const
@@ -39,7 +41,7 @@
     const double z = (logSeconds(age) - meanLog_) / spreadLog_;
     const double slowZ = z - slowShift / spreadLog_;
     const double ratio = std::log(upperTail(slowZ)) - std::log(upperTail(z));
-    return std::clamp(ratio, 0.0, maxRunningRatio);
+    return std::clamp(ratio, 0.0, maxPendingLogRatio);
 }
 
 } // namespace qz
--- a/packages/qz_health/evidence/latencymodel.h
+++ b/packages/qz_health/evidence/latencymodel.h
@@ -1,27 +1,27 @@
-// The logarithmic latency model that evidence is weighed by.
+// A log-normal model of request latency.
 #pragma once
 
 #include "qz_core/time/clock.h"
 
 namespace qz {
 
-/// The natural logarithm of @p latency in seconds; latencies under 0.1 ms count as that.
+/// Returns the natural logarithm of @p latency in seconds. A latency below 0.1 ms counts as 0.1 ms.
 double logSeconds(Duration latency);
 
-/// Latency of healthy work, as a normal distribution of its logarithm, and the likelihood
-/// ratio of a server that is slower by slowShift.
+/// The latency of requests to a healthy server, as a normal distribution of its logarithm. Computes
+/// the log-likelihood ratio of a server that is slower by slowShift against a healthy one.
 struct LatencyModel
 {
-    /// The shift that "slow" stands for: a factor of 2.5.
+    /// Shift of the mean logarithm for a slow server: a factor of 2.5.
     static constexpr double slowShift = 0.916;
 
-    double meanLog_ = 0;
-    double spreadLog_ = 1; ///< Above 0.
+    double meanLog_ = 0;   ///< Mean of the natural logarithm of the latency in seconds.
+    double spreadLog_ = 1; ///< Standard deviation on the same scale; above 0.
 
-    /// The log-likelihood ratio of an ended request, in nats, bounded on both sides.
+    /// Returns the log-likelihood ratio of a completed request in nats, bounded on both sides.
     double completedLogRatio(Duration latency) const;
 
-    /// The same for a request that has run for @p age and has not ended; never negative.
+    /// Returns the ratio for a request in flight that was sent @p age ago; bounded, never negative.
     double pendingLogRatio(Duration age) const;
 };
 
--- a/packages/qz_health/evidence/observation.h
+++ b/packages/qz_health/evidence/observation.h
@@ -1,4 +1,4 @@
-// What a gate saw of one request to its backend server.
+// The result of one request or probe as the gate observed it.
 #pragma once
 
 #include "qz_core/time/clock.h"
@@ -10,20 +10,20 @@
 
 enum class ObservedResult : std::uint8_t {
     Succeeded,
-    Shed,          ///< The server refused the request for load.
-    Failed,        ///< The server answered with a 5xx status.
-    TimedOut,      ///< No whole answer before the deadline.
-    ConnectFailed, ///< No connection was made.
-    Cut,           ///< The connection ended before the answer did.
+    Shed,          ///< The server refused the request because of its load.
+    Failed,        ///< The server responded with a 5xx status.
+    TimedOut,      ///< No complete response before the deadline.
+    ConnectFailed, ///< The connection could not be established.
+    Cut,           ///< The connection was closed before the response was complete.
 };
 
-/// One ended request, or one ended probe.
+/// A completed request or probe.
 struct Observation
 {
-    std::string kind_; ///< Kind of work by the rules.
+    std::string kind_; ///< Kind of the request according to the rules.
     ObservedResult result_ = ObservedResult::Succeeded;
-    Duration latency_{}; ///< From dispatch until the end.
-    TimePoint at_;       ///< When it ended.
+    Duration latency_{}; ///< From dispatch to completion.
+    TimePoint at_;       ///< Time of completion.
 };
 
 } // namespace qz
--- a/packages/qz_health/evidence/serverevidence.cpp
+++ b/packages/qz_health/evidence/serverevidence.cpp
@@ -7,19 +7,21 @@
 
 namespace {
 
+// Scores and log-likelihood ratios are in nats.
 constexpr double maxScore = 24;
 constexpr double minProbeScore = -6;
 constexpr double maxProbeScore = 10;
-constexpr double forgettingCount = 60; ///< Observations that a latency figure spans.
-constexpr double residualGain = 0.25;  ///< Share of the newest request in the slow factor.
-constexpr double troubleScore = 2;     ///< Below this, evidence is everyday noise.
-
-constexpr double sickFailureRate = 0.5;
-constexpr double minUsualFailureRate = 0.02;
-constexpr double maxUsualFailureRate = 0.4;
-constexpr double connectFailedRatio = 4;
-constexpr double connectedRatio = -4;
-constexpr double probeFailedRatio = 3;
+/// Limits the weight of old observations in a latency mean.
+constexpr double maxEffectiveSamples = 60;
+constexpr double slowFactorGain = 0.25; ///< Weight of the latest request in the slow factor.
+constexpr double minUnhealthyScore = 2; ///< Lower scores also occur with healthy servers.
+
+constexpr double unhealthyFailureRate = 0.5;
+constexpr double minBaselineFailureRate = 0.02;
+constexpr double maxBaselineFailureRate = 0.4;
+constexpr double connectFailedLogRatio = 4;
+constexpr double connectedLogRatio = -4;
+constexpr double probeFailedLogRatio = 3;
 
 double bounded(double score)
 {
@@ -31,19 +33,19 @@
     return result != ObservedResult::Succeeded && result != ObservedResult::Shed;
 }
 
-/// The log-likelihood ratio of one answer under a usual failure rate.
-double failureRatio(bool failed, double usualRate)
+/// Returns the log-likelihood ratio of one response, given the usual failure rate.
+double failureLogRatio(bool failed, double usualRate)
 {
-    const double usual = std::clamp(usualRate, minUsualFailureRate, maxUsualFailureRate);
-    return failed ? std::log(sickFailureRate / usual)
-                  : std::log((1 - sickFailureRate) / (1 - usual));
+    const double usual = std::clamp(usualRate, minBaselineFailureRate, maxBaselineFailureRate);
+    return failed ? std::log(unhealthyFailureRate / usual)
+                  : std::log((1 - unhealthyFailureRate) / (1 - usual));
 }
 
 } // namespace
 
 void ServerEvidence::LatencyStat::add(double logLatency)
 {
-    count_ = std::min(count_ + 1, forgettingCount);
+    count_ = std::min(count_ + 1, maxEffectiveSamples);
     const double delta = logLatency - meanLog_;
     meanLog_ += delta / count_;
     varianceLog_ += (delta * (logLatency - meanLog_) - varianceLog_) / count_;
@@ -61,22 +63,22 @@
 
 ServerEvidence::InFlightId ServerEvidence::begin(const std::string &kind, TimePoint at)
 {
-    const InFlightId flight = ++lastFlight_;
-    if (flights_.size() < maxFlights) {
-        flights_[flight] = Flight{ kindHash(kind), at };
+    const InFlightId id = ++lastInFlightId_;
+    if (inFlight_.size() < maxInFlight) {
+        inFlight_[id] = InFlightRequest{ kindHash(kind), at };
     }
-    return flight;
+    return id;
 }
 
-void ServerEvidence::end(InFlightId flight, const Observation &observation)
+void ServerEvidence::end(InFlightId id, const Observation &observation)
 {
-    flights_.erase(flight);
+    inFlight_.erase(id);
     record(observation);
 }
 
-void ServerEvidence::discard(InFlightId flight)
+void ServerEvidence::discard(InFlightId id)
 {
-    flights_.erase(flight);
+    inFlight_.erase(id);
 }
 
 void ServerEvidence::record(const Observation &observation)
@@ -87,7 +89,7 @@
     if (observation.result_ == ObservedResult::Succeeded) {
         addLatency(kind, observation.latency_);
     }
-    noteTrouble(observation.at_);
+    updateUnhealthySince(observation.at_);
 }
 
 void ServerEvidence::recordProbe(const Observation &observation)
@@ -100,10 +102,10 @@
         ratio = usual.completedLogRatio(observation.latency_);
         probe_.add(logSeconds(observation.latency_));
     } else if (connected) {
-        ratio = probeFailedRatio;
+        ratio = probeFailedLogRatio;
     }
     probeScore_ = std::clamp(probeScore_ + ratio, minProbeScore, maxProbeScore);
-    noteTrouble(observation.at_);
+    updateUnhealthySince(observation.at_);
 }
 
 EvidenceDigest ServerEvidence::digest(TimePoint now) const
@@ -124,12 +126,12 @@
     digest.connectFailed_ = countOf(ObservedResult::ConnectFailed);
     digest.cut_ = countOf(ObservedResult::Cut);
     digest.consecutiveErrors_ = consecutiveErrors_;
-    TimePoint since = troubleSince_.value_or(now);
-    digest.slowScore_ = static_cast<float>(bounded(slowScore_ + flightScore(now, since)));
+    TimePoint since = unhealthySince_.value_or(now);
+    digest.slowScore_ = static_cast<float>(bounded(slowScore_ + inFlightScore(now, since)));
     digest.failScore_ = static_cast<float>(failScore_);
     digest.connectScore_ = static_cast<float>(connectScore_);
     digest.probeScore_ = static_cast<float>(probeScore_);
-    digest.slowFactor_ = static_cast<float>(std::exp(slowResidual_));
+    digest.slowFactor_ = static_cast<float>(std::exp(meanLogResidual_));
     const auto span = std::chrono::duration_cast<std::chrono::milliseconds>(now - since);
     digest.unhealthyTimeMs_ = static_cast<std::uint32_t>(span.count());
     return digest;
@@ -138,11 +140,11 @@
 void ServerEvidence::reset(TimePoint now)
 {
     ServiceBaseline baseline = std::move(baseline_);
-    const InFlightId lastFlight = lastFlight_;
+    const InFlightId lastFlight = lastInFlightId_;
     *this = ServerEvidence();
     baseline_ = std::move(baseline);
-    lastFlight_ = lastFlight;
-    noteTrouble(now);
+    lastInFlightId_ = lastFlight;
+    updateUnhealthySince(now);
 }
 
 void ServerEvidence::count(ObservedResult result, TimePoint at)
@@ -162,7 +164,7 @@
 
 void ServerEvidence::addLatency(std::uint32_t kind, Duration latency)
 {
-    // A kind beyond the bound takes the place of the one seen least.
+    // If all entries are in use, a new kind replaces the one with the fewest observations.
     LatencyStat *place = &kinds_.front();
     for (LatencyStat &stat : kinds_) {
         if (stat.count_ > 0 && stat.kind_ == kind) {
@@ -195,39 +197,40 @@
         return;
     }
     const bool failed = isError(observation.result_);
-    failScore_ = bounded(failScore_ + failureRatio(failed, baseline_.failureRate()));
+    failScore_ = bounded(failScore_ + failureLogRatio(failed, baseline_.failureRate()));
     if (!failed && usual) {
         slowScore_ = bounded(slowScore_ + usual->completedLogRatio(observation.latency_));
         const double residual = logSeconds(observation.latency_) - usual->meanLog_;
-        slowResidual_ += residualGain * (residual - slowResidual_);
+        meanLogResidual_ += slowFactorGain * (residual - meanLogResidual_);
     }
 }
 
 void ServerEvidence::addConnectScore(bool connected)
 {
-    connectScore_ = bounded(connectScore_ + (connected ? connectedRatio : connectFailedRatio));
+    connectScore_ =
+            bounded(connectScore_ + (connected ? connectedLogRatio : connectFailedLogRatio));
 }
 
-void ServerEvidence::noteTrouble(TimePoint at)
+void ServerEvidence::updateUnhealthySince(TimePoint at)
 {
-    if (std::max({ slowScore_, failScore_, connectScore_ }) < troubleScore) {
-        troubleSince_.reset();
+    if (std::max({ slowScore_, failScore_, connectScore_ }) < minUnhealthyScore) {
+        unhealthySince_.reset();
         return;
     }
-    if (!troubleSince_) {
-        troubleSince_ = at;
+    if (!unhealthySince_) {
+        unhealthySince_ = at;
     }
 }
 
-double ServerEvidence::flightScore(TimePoint now, TimePoint &earliest) const
+double ServerEvidence::inFlightScore(TimePoint now, TimePoint &earliest) const
 {
     double score = 0;
-    for (const auto &[id, flight] : flights_) {
-        const auto usual = baseline_.latencyOf(flight.kind_);
-        const double ratio = usual ? usual->pendingLogRatio(now - flight.since_) : 0;
+    for (const auto &[id, request] : inFlight_) {
+        const auto usual = baseline_.latencyOf(request.kind_);
+        const double ratio = usual ? usual->pendingLogRatio(now - request.since_) : 0;
         score += ratio;
-        if (ratio >= troubleScore) {
-            earliest = std::min(earliest, flight.since_);
+        if (ratio >= minUnhealthyScore) {
+            earliest = std::min(earliest, request.since_);
         }
     }
     return score;
--- a/packages/qz_health/evidence/servicebaseline.cpp
+++ b/packages/qz_health/evidence/servicebaseline.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr std::size_t maxBaselineKinds = 16;
-constexpr unsigned minKindSamples = 8;  ///< Over all servers, to judge a kind.
-constexpr unsigned minProbeSamples = 3; ///< Over all servers, to leave the nominal latency.
+constexpr unsigned minKindSamples = 8;  ///< Over all servers, for a kind to have a baseline.
+constexpr unsigned minProbeSamples = 3; ///< Over all servers, to replace the nominal latency.
 constexpr double minSpreadLog = 0.35;
 constexpr Duration nominalProbeLatency = std::chrono::milliseconds(25);
 
@@ -21,7 +21,7 @@
     return *middle;
 }
 
-/// One kind over several servers.
+/// Merges the summaries of one kind from several servers.
 KindSummary merge(const std::vector<KindSummary> &servers)
 {
     std::vector<float> means;
--- a/packages/qz_health/evidence/servicebaseline.h
+++ b/packages/qz_health/evidence/servicebaseline.h
@@ -1,4 +1,4 @@
-// What is usual in a service, from the digests of its servers.
+// The baseline of a service, computed from the digests of its servers.
 #pragma once
 
 #include "qz_health/evidence/evidencedigest.h"
@@ -11,34 +11,36 @@
 
 namespace qz {
 
-/// Usual latency by kind and usual failure rate: medians over servers, so that a sick
-/// minority does not move them. Small enough to be sent to each gate of the service.
+/// The usual latency by request kind, and the usual failure rate. Both are medians over servers, so
+/// that a minority of unhealthy servers does not distort them. Small enough to be sent to each gate
+/// of the service.
 /// @see ServerEvidence::setBaseline
 class ServiceBaseline
 {
 public:
     ServiceBaseline() = default;
 
-    /// The baseline for one server from the digests of the service's @p others.
+    /// Computes the baseline for one server from the digests of the @p others in its service.
     static ServiceBaseline fromDigests(const std::vector<EvidenceDigest> &others);
 
-    /// Usual latency of a kind by its hash; none if too little is known.
+    /// Returns the usual latency of the kind with hash @p kind; nothing if there are too few
+    /// samples.
     std::optional<LatencyModel> latencyOf(std::uint32_t kind) const;
 
-    /// Usual latency of probes; a nominal one while little is known.
+    /// Returns the usual latency of probes, or a nominal one if there are too few samples.
     LatencyModel probeLatency() const;
 
-    /// The usual share of failed and cut requests, 0..1.
+    /// Returns the usual share of requests that failed or were cut off, 0..1.
     double failureRate() const { return failureRate_; }
 
     std::size_t kindCount() const { return kinds_.size(); }
 
-    /// @cond The msgpack form.
+    /// @cond Fields of the msgpack form.
     MSGPACK_DEFINE_ARRAY(kinds_, probe_, failureRate_)
     /// @endcond
 
 private:
-    std::vector<KindSummary> kinds_; ///< Bounded by maxBaselineKinds.
+    std::vector<KindSummary> kinds_; ///< At most maxBaselineKinds.
     KindSummary probe_;
     float failureRate_ = 0;
 };
--- a/packages/qz_health/tests/evidencetest.cpp
+++ b/packages/qz_health/tests/evidencetest.cpp
@@ -1,4 +1,4 @@
-// Evidence of one server and what the detector makes of it.
+// Evidence about one server and the verdict of the detector.
 #include "qz_health/qz_health.h"
 
 #include "qz_core/time/manualclock.h"
@@ -12,20 +12,20 @@
 
 namespace {
 
-Observation answer(const char *kind, Duration latency, TimePoint at)
+Observation success(const char *kind, Duration latency, TimePoint at)
 {
     return Observation{ kind, ObservedResult::Succeeded, latency, at };
 }
 
-/// Digests of seven healthy servers with a light and a heavy kind.
+/// Returns digests of seven healthy servers with requests of a fast and a slow kind.
 std::vector<EvidenceDigest> healthyOthers(TimePoint at)
 {
     std::vector<EvidenceDigest> digests;
     for (int server = 0; server < 7; ++server) {
         ServerEvidence evidence;
         for (int i = 0; i < 20; ++i) {
-            evidence.record(answer("light", 20ms + i * 1ms, at));
-            evidence.record(answer("heavy", 400ms + i * 20ms, at));
+            evidence.record(success("light", 20ms + i * 1ms, at));
+            evidence.record(success("heavy", 400ms + i * 20ms, at));
         }
         digests.push_back(evidence.digest(at));
     }
@@ -50,7 +50,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(Evidence, Fixture)
 
-BOOST_AUTO_TEST_CASE(largestDigestIsShortAndSurvivesTheWire)
+BOOST_AUTO_TEST_CASE(largestDigestSerializesBelow200Bytes)
 {
     EvidenceDigest sent;
     sent.kinds_.fill(KindSummary{ 0xffffffff, 0xffff, -1.1F, 0.3F });
@@ -71,43 +71,43 @@
     BOOST_TEST(got.probeScore_ == sent.probeScore_);
 }
 
-BOOST_AUTO_TEST_CASE(shortPauseIsNoGroundForEjection)
+BOOST_AUTO_TEST_CASE(shortPauseDoesNotAllowEjection)
 {
     for (int i = 0; i < 20; ++i) {
         clock_.advance(20ms);
-        evidence_.record(answer("light", 400ms, clock_.now()));
-        evidence_.recordProbe(answer("", 400ms, clock_.now()));
+        evidence_.record(success("light", 400ms, clock_.now()));
+        evidence_.recordProbe(success("", 400ms, clock_.now()));
     }
     BOOST_TEST(evaluate().isSuspect());
     BOOST_TEST(!evaluate().allowsEjection());
 }
 
-BOOST_AUTO_TEST_CASE(heavyWorkIsNotTakenForSlowness)
+BOOST_AUTO_TEST_CASE(slowRequestKindDoesNotMakeServerUnhealthy)
 {
     for (int i = 0; i < 50; ++i) {
         clock_.advance(100ms);
-        evidence_.record(answer("heavy", 450ms, clock_.now()));
+        evidence_.record(success("heavy", 450ms, clock_.now()));
     }
     BOOST_TEST(!evaluate().isUnhealthy());
 }
 
-BOOST_AUTO_TEST_CASE(slowServerLosesWeightThenMayBeEjected)
+BOOST_AUTO_TEST_CASE(slowServerIsSuspectBeforeEjection)
 {
     for (int i = 0; i < 3; ++i) {
         clock_.advance(100ms);
-        evidence_.record(answer("light", 300ms, clock_.now()));
+        evidence_.record(success("light", 300ms, clock_.now()));
     }
     BOOST_TEST(evaluate().isSuspect());
     BOOST_TEST(!evaluate().allowsEjection());
     for (int i = 0; i < 8; ++i) {
         clock_.advance(200ms);
-        evidence_.record(answer("light", 300ms, clock_.now()));
+        evidence_.record(success("light", 300ms, clock_.now()));
     }
     BOOST_TEST(evaluate().allowsEjection());
     BOOST_TEST(std::holds_alternative<Slow>(evaluate().state_));
 }
 
-BOOST_AUTO_TEST_CASE(overdueRequestIsEvidenceBeforeItEnds)
+BOOST_AUTO_TEST_CASE(overdueRequestInFlightMakesServerSuspect)
 {
     evidence_.begin("light", clock_.now());
     BOOST_TEST(!evaluate().isUnhealthy());
@@ -115,36 +115,36 @@
     BOOST_TEST(evaluate().isSuspect());
 }
 
-BOOST_AUTO_TEST_CASE(troubleOfTheWholeServiceIsNotTheServers)
+BOOST_AUTO_TEST_CASE(serviceWideSlownessDoesNotMakeServerUnhealthy)
 {
     for (EvidenceDigest &other : others_) {
         other.slowScore_ = 20;
     }
     for (int i = 0; i < 30; ++i) {
         clock_.advance(100ms);
-        evidence_.record(answer("light", 300ms, clock_.now()));
+        evidence_.record(success("light", 300ms, clock_.now()));
     }
     BOOST_TEST(!evaluate().isUnhealthy());
 }
 
-BOOST_AUTO_TEST_CASE(probesAloneNeitherEjectNorSave)
+BOOST_AUTO_TEST_CASE(probesAloneDoNotDecideEjection)
 {
     for (int i = 0; i < 30; ++i) {
         clock_.advance(100ms);
         evidence_.recordProbe(Observation{ "", ObservedResult::Failed, 25ms, clock_.now() });
-        evidence_.record(answer("light", 25ms, clock_.now()));
+        evidence_.record(success("light", 25ms, clock_.now()));
     }
     BOOST_TEST(!evaluate().isUnhealthy());
     for (int i = 0; i < 30; ++i) {
         clock_.advance(100ms);
-        evidence_.recordProbe(answer("", 25ms, clock_.now()));
+        evidence_.recordProbe(success("", 25ms, clock_.now()));
         evidence_.record(Observation{ "light", ObservedResult::Failed, 5ms, clock_.now() });
     }
     BOOST_TEST(evaluate().allowsEjection());
     BOOST_TEST(std::holds_alternative<Failing>(evaluate().state_));
 }
 
-BOOST_AUTO_TEST_CASE(refusedConnectsMakeItUnreachable)
+BOOST_AUTO_TEST_CASE(failedConnectsMakeServerUnreachable)
 {
     for (int i = 0; i < 8; ++i) {
         clock_.advance(200ms);
--- a/packages/qz_health/tests/weightcontrollertest.cpp
+++ b/packages/qz_health/tests/weightcontrollertest.cpp
@@ -1,4 +1,4 @@
-// Weights over time.
+// Weights of a server over time, and the rate of probes.
 #include "qz_health/qz_health.h"
 
 #include "qz_core/time/manualclock.h"
@@ -8,7 +8,7 @@
 using namespace qz;
 using namespace std::chrono_literals;
 
-BOOST_AUTO_TEST_CASE(weightFallsAtOnceAndNeverToZero)
+BOOST_AUTO_TEST_CASE(weightFallsAtOnceToMinimum)
 {
     ManualClock clock;
     WeightController weights;
@@ -20,7 +20,7 @@
     BOOST_TEST(weights.weight() == WeightController::minWeight);
 }
 
-BOOST_AUTO_TEST_CASE(coldServerRampsUp)
+BOOST_AUTO_TEST_CASE(coldServerRampsUpToFullWeight)
 {
     ManualClock clock;
     WeightController weights;
@@ -39,21 +39,22 @@
     BOOST_TEST(weights.weight() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(probesAreSpentOnDoubtOnlyAndWithinABudget)
+BOOST_AUTO_TEST_CASE(probesOnlySuspectServersWithinBudget)
 {
     ManualClock clock;
-    ProbeScheduler prober;
-    BOOST_TEST(!prober.shouldProbe(Verdict{ Healthy{}, 1 }, clock.now()));
-    const Verdict doubt{ Slow{ 3 }, Verdict::weightConfidence };
-    BOOST_TEST(prober.shouldProbe(doubt, clock.now()));
+    ProbeScheduler scheduler;
+    BOOST_TEST(!scheduler.shouldProbe(Verdict{ Healthy{}, 1 }, clock.now()));
+    const Verdict suspect{ Slow{ 3 }, Verdict::weightConfidence };
+    BOOST_TEST(scheduler.shouldProbe(suspect, clock.now()));
     clock.advance(1s);
-    BOOST_TEST(!prober.shouldProbe(doubt, clock.now())); // one at a time
+    BOOST_TEST(
+            !scheduler.shouldProbe(suspect, clock.now())); // the previous probe is still in flight
     int sent = 0;
     for (int i = 0; i < 600; ++i) {
         clock.advance(100ms);
-        prober.probeEnded();
-        sent += prober.shouldProbe(doubt, clock.now()) ? 1 : 0;
+        scheduler.probeEnded();
+        sent += scheduler.shouldProbe(suspect, clock.now()) ? 1 : 0;
     }
     BOOST_TEST(sent > 60);
-    BOOST_TEST(sent <= 81); // the burst and one a second
+    BOOST_TEST(sent <= 81); // the burst, then one probe per second
 }
--- a/packages/qz_health/weights/weightcontroller.cpp
+++ b/packages/qz_health/weights/weightcontroller.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-/// The weight while a verdict stands: under a tenth from the first doubt on.
+/// Returns the highest weight that @p verdict allows; below 0.1 if the server is suspect.
 double targetOf(const Verdict &verdict)
 {
-    constexpr double doubtWeight = 0.08;
+    constexpr double suspectWeight = 0.08;
     if (!verdict.isSuspect()) {
         return 1;
     }
-    const double sure = (verdict.confidence_ - Verdict::weightConfidence)
+    const double certainty = (verdict.confidence_ - Verdict::weightConfidence)
             / (Verdict::ejectConfidence - Verdict::weightConfidence);
-    return std::max(WeightController::minWeight, doubtWeight * (1 - sure));
+    return std::max(WeightController::minWeight, suspectWeight * (1 - certainty));
 }
 
 } // namespace
--- a/packages/qz_health/weights/weightcontroller.h
+++ b/packages/qz_health/weights/weightcontroller.h
@@ -1,4 +1,4 @@
-// The share of work that a backend server gets.
+// The weight of a backend server in load balancing.
 #pragma once
 
 #include "qz_core/time/clock.h"
@@ -6,28 +6,30 @@
 
 namespace qz {
 
-/// Turns verdicts over time into a weight, 0..1 of a fair share. Trouble lowers it at once,
-/// recovery raises it step by step, a cold server starts low and ramps up.
-/// Invariant: the weight is never below minWeight, so that a server that is not ejected keeps
-/// giving evidence.
+/// Computes a backend server's weight, 0..1 of its fair share of requests, from successive
+/// verdicts. An unhealthy verdict reduces the weight at once. After a recovery or a cold start the
+/// weight ramps up gradually.
+/// Invariant: the weight is at least minWeight, so that a server that is not ejected gets enough
+/// requests to be evaluated.
 /// @see OutlierDetector
 class WeightController
 {
 public:
     static constexpr double minWeight = 0.02;
     static constexpr double coldWeight = 0.1;
+    /// Time in which the weight rises by 1.
     static constexpr Duration rampTime = std::chrono::seconds(10);
 
-    /// A warm server of full weight.
+    /// Creates a controller for a warm server, with full weight.
     WeightController() = default;
 
-    /// The server is cold from @p now on: new, restarted or re-admitted.
+    /// Sets the weight to coldWeight, for a server that is new, restarted or re-admitted at @p now.
     void startCold(TimePoint now);
 
-    /// Takes the newest verdict, a few times a second.
+    /// Updates the weight from the latest verdict. Call it several times a second.
     void update(const Verdict &verdict, TimePoint now);
 
-    /// The weight as of the last update, at least minWeight.
+    /// Returns the weight as of the last update.
     double weight() const { return weight_; }
 
 private:
