--- a/packages/qz_admission/estimates/servicetimes.cpp
+++ b/packages/qz_admission/estimates/servicetimes.cpp
@@ -1,4 +1,4 @@
-// Smoothed service times.
+// Smoothed service times by kind of request.
 #include "qz_admission/estimates/servicetimes.h"
 
 #include <chrono>
@@ -7,33 +7,33 @@
 
 namespace {
 
-constexpr int meanDivisor = 8;      // RFC 6298's alpha.
-constexpr int deviationDivisor = 4; // RFC 6298's beta.
-constexpr int cautiousDeviations = 2;
+constexpr int meanDivisor = 8;      // 1/alpha of RFC 6298.
+constexpr int deviationDivisor = 4; // 1/beta of RFC 6298.
+constexpr int conservativeDeviations = 2;
 
 } // namespace
 
-void ServiceTimes::Estimate::record(Duration used)
+void ServiceTimes::Estimate::record(Duration serviceTime)
 {
     if (isEmpty_) {
-        mean_ = used;
-        deviation_ = used / 2;
+        mean_ = serviceTime;
+        deviation_ = serviceTime / 2;
         isEmpty_ = false;
         return;
     }
-    const Duration error = used - mean_;
-    deviation_ += (std::chrono::abs(error) - deviation_) / deviationDivisor;
-    mean_ += error / meanDivisor;
+    const Duration difference = serviceTime - mean_;
+    deviation_ += (std::chrono::abs(difference) - deviation_) / deviationDivisor;
+    mean_ += difference / meanDivisor;
 }
 
-void ServiceTimes::record(const std::string &kind, Duration used)
+void ServiceTimes::record(const std::string &kind, Duration serviceTime)
 {
-    all_.record(used);
-    const auto known = kinds_.find(kind);
-    if (known != kinds_.end()) {
-        known->second.record(used);
-    } else if (kinds_.size() < maxKinds) {
-        kinds_[kind].record(used);
+    allKinds_.record(serviceTime);
+    const auto found = byKind_.find(kind);
+    if (found != byKind_.end()) {
+        found->second.record(serviceTime);
+    } else if (byKind_.size() < maxKinds) {
+        byKind_[kind].record(serviceTime);
     }
 }
 
@@ -45,13 +45,13 @@
 Duration ServiceTimes::conservative(const std::string &kind) const
 {
     const Estimate &estimate = estimateOf(kind);
-    return estimate.mean_ + cautiousDeviations * estimate.deviation_;
+    return estimate.mean_ + conservativeDeviations * estimate.deviation_;
 }
 
 const ServiceTimes::Estimate &ServiceTimes::estimateOf(const std::string &kind) const
 {
-    const auto known = kinds_.find(kind);
-    return known == kinds_.end() ? all_ : known->second;
+    const auto found = byKind_.find(kind);
+    return found == byKind_.end() ? allKinds_ : found->second;
 }
 
 } // namespace qz
--- a/packages/qz_admission/estimates/servicetimes.h
+++ b/packages/qz_admission/estimates/servicetimes.h
@@ -1,4 +1,4 @@
-// How long requests of each kind occupy a slot, as measured by the queue that runs them.
+// Estimates of how long requests of each kind occupy a slot.
 #pragma once
 
 #include "qz_core/time/clock.h"
@@ -8,18 +8,20 @@
 
 namespace qz {
 
-/// Smoothed service times by kind: a mean and a mean deviation, as in the round trip
-/// estimate of RFC 6298. A kind that was never measured is taken for the mean of all kinds.
+/// Keeps a smoothed mean and mean deviation of the service time of each kind, like the round-trip
+/// time estimate of RFC 6298. A kind without its own measurements uses the estimate over all kinds.
 /// @see AdmissionQueue
 class ServiceTimes
 {
 public:
-    void record(const std::string &kind, Duration used);
+    /// Records a request of @p kind that occupied its slot for @p serviceTime.
+    void record(const std::string &kind, Duration serviceTime);
 
-    /// The expected time in a slot; zero before the first measurement of any kind.
+    /// Returns the mean service time of @p kind; zero before the first measurement of any kind.
     Duration expected(const std::string &kind) const;
 
-    /// A time that all but a few requests of @p kind stay under.
+    /// Returns an upper estimate, the mean plus twice the mean deviation, which only few requests
+    /// of @p kind exceed.
     Duration conservative(const std::string &kind) const;
 
 private:
@@ -29,15 +31,15 @@
         Duration deviation_{};
         bool isEmpty_ = true;
 
-        void record(Duration used);
+        void record(Duration serviceTime);
     };
 
     const Estimate &estimateOf(const std::string &kind) const;
 
-    static constexpr std::size_t maxKinds = 1024; ///< Further kinds use the mean of all.
+    static constexpr std::size_t maxKinds = 1024; ///< Further kinds use allKinds_.
 
-    std::unordered_map<std::string, Estimate> kinds_; ///< At most maxKinds.
-    Estimate all_;
+    std::unordered_map<std::string, Estimate> byKind_; ///< At most maxKinds.
+    Estimate allKinds_;
 };
 
 } // namespace qz
--- a/packages/qz_admission/estimates/waitcorrection.cpp
+++ b/packages/qz_admission/estimates/waitcorrection.cpp
@@ -1,4 +1,4 @@
-// Learned corrections of predicted waits.
+// Corrects predicted queue waits by the waits that were observed.
 #include "qz_admission/estimates/waitcorrection.h"
 
 #include <algorithm>
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr double gain = 1.0 / 32.0; // Of the newest ticket in the smoothed waits.
+constexpr double smoothingGain = 1.0 / 32.0; // Weight of the newest wait in the means.
 
 } // namespace
 
 void WaitCorrection::record(Duration predicted, Duration actual)
 {
-    meanPredicted_ += gain * (static_cast<double>(predicted.count()) - meanPredicted_);
-    meanActual_ += gain * (static_cast<double>(actual.count()) - meanActual_);
+    meanPredicted_ += smoothingGain * (static_cast<double>(predicted.count()) - meanPredicted_);
+    meanActual_ += smoothingGain * (static_cast<double>(actual.count()) - meanActual_);
 }
 
 Duration WaitCorrection::corrected(Duration predicted) const
--- a/packages/qz_admission/estimates/waitcorrection.h
+++ b/packages/qz_admission/estimates/waitcorrection.h
@@ -1,28 +1,28 @@
-// How far predicted waits were off, as learned from the waits that followed.
+// Corrects predicted queue waits by the waits that were observed.
 #pragma once
 
 #include "qz_core/time/clock.h"
 
 namespace qz {
 
-/// Corrects the predicted waits of one rank. A prediction knows the work that is queued, but
-/// not the work that will come later and go first; how much that is shows in the waits of the
-/// tickets that were started lately.
+/// Corrects the predicted waits of one rank. A prediction covers the work that is queued now, but
+/// not the more urgent work that arrives later and overtakes it. The ratio of recent actual waits
+/// to their predictions accounts for that work.
 /// @see AdmissionQueue
 class WaitCorrection
 {
 public:
-    /// A ticket with the uncorrected wait @p predicted started after @p actual.
+    /// Records that a request with the uncorrected prediction @p predicted waited for @p actual.
     void record(Duration predicted, Duration actual);
 
-    /// @p predicted as corrected: at least itself, at most maxFactor times it.
+    /// Returns @p predicted multiplied by a correction factor from 1 to maxFactor.
     Duration corrected(Duration predicted) const;
 
 private:
     static constexpr double maxFactor = 4.0;
 
-    double meanPredicted_ = 0.0; ///< Nanoseconds, smoothed.
-    double meanActual_ = 0.0;    ///< Nanoseconds, smoothed in the same way.
+    double meanPredicted_ = 0.0; ///< Nanoseconds, exponentially smoothed.
+    double meanActual_ = 0.0;    ///< Nanoseconds, smoothed with the same gain.
 };
 
 } // namespace qz
--- a/packages/qz_admission/policies/fifopolicy.cpp
+++ b/packages/qz_admission/policies/fifopolicy.cpp
@@ -1,4 +1,4 @@
-// First in, first out.
+// Serves requests in order of arrival.
 #include "qz_admission/policies/fifopolicy.h"
 
 namespace qz {
--- a/packages/qz_admission/policies/fifopolicy.h
+++ b/packages/qz_admission/policies/fifopolicy.h
@@ -1,4 +1,4 @@
-// First in, first out, whatever the rank: a baseline.
+// First in, first out regardless of rank. A baseline for comparison.
 #pragma once
 
 #include "qz_admission/policies/slotload.h"
@@ -13,8 +13,8 @@
 
 namespace qz {
 
-/// Serves tickets in the order of their offers; a full queue refuses.
-/// @see AdmissionPolicy for the members
+/// Serves requests in order of arrival. A full queue refuses new requests and displaces none.
+/// @see AdmissionPolicy, which describes the members
 class FifoPolicy
 {
 public:
@@ -34,7 +34,7 @@
 
 private:
     std::map<std::uint64_t, std::uint64_t> idsBySequence_;
-    Duration work_{}; ///< Sum of the expected times of all queued tickets.
+    Duration work_{}; ///< Sum of the expected service times of all queued requests.
 };
 
 } // namespace qz
--- a/packages/qz_admission/policies/sharedrankspolicy.cpp
+++ b/packages/qz_admission/policies/sharedrankspolicy.cpp
@@ -1,4 +1,4 @@
-// Rank order with kept shares.
+// Priority between ranks with a guaranteed minimum share of slot time for each.
 #include "qz_admission/policies/sharedrankspolicy.h"
 
 #include <algorithm>
@@ -8,12 +8,13 @@
 
 namespace {
 
-/// How far a rank may run ahead of its share, or fall behind it and still be given it later.
-constexpr Duration creditWindow = std::chrono::seconds(1);
+/// Limits credit and debt of a rank to what its share earns in this time. A rank that falls
+/// further behind its share does not get the excess back.
+constexpr Duration maxCreditTime = std::chrono::seconds(1);
 
-/// How much of what a rank ran ahead is kept while no two ranks wait: slots that nobody else
-/// wanted aren't held against it for long.
-constexpr Duration uncontendedDebtWindow = std::chrono::milliseconds(100);
+/// Limits the debt of a rank to what its share earns in this time while fewer than two ranks have
+/// queued work: slots that no other rank needed must not delay it for long afterwards.
+constexpr Duration maxUncontendedDebtTime = std::chrono::milliseconds(100);
 
 Duration scaled(Duration duration, double factor)
 {
@@ -33,7 +34,7 @@
 
 void SharedRanksPolicy::configure(int slots, const std::vector<RankShare> &ranks, TimePoint now)
 {
-    settle(now);
+    updateCredits(now);
     slots_ = slots;
     ranks_.resize(std::max(ranks.size(), ranks_.size()));
     const double divisor = std::max(1.0, sumOfShares(ranks));
@@ -42,63 +43,63 @@
     }
 }
 
-void SharedRanksPolicy::settle(TimePoint now)
+void SharedRanksPolicy::updateCredits(TimePoint now)
 {
-    const Duration passed = std::max(Duration{}, now - settledAt_);
-    settledAt_ = std::max(now, settledAt_);
-    int waitingRanks = 0;
+    const Duration elapsed = std::max(Duration{}, now - creditsUpdatedAt_);
+    creditsUpdatedAt_ = std::max(now, creditsUpdatedAt_);
+    int backloggedRanks = 0;
     for (RankQueue &rank : ranks_) {
-        if (!rank.tickets_.isEmpty()) {
-            ++waitingRanks;
-            addCredit(rank, scaled(passed, rank.share_ * slots_));
+        if (!rank.requests_.isEmpty()) {
+            ++backloggedRanks;
+            addCredit(rank, scaled(elapsed, rank.share_ * slots_));
         }
     }
-    if (waitingRanks < 2 && passed > Duration{}) {
-        forgiveDebts();
+    if (backloggedRanks < 2 && elapsed > Duration{}) {
+        limitUncontendedDebts();
     }
 }
 
 void SharedRanksPolicy::addCredit(RankQueue &rank, Duration amount) const
 {
-    const Duration limit = scaled(creditWindow, rank.share_ * slots_);
+    const Duration limit = scaled(maxCreditTime, rank.share_ * slots_);
     rank.credit_ = std::clamp(rank.credit_ + amount, -limit, limit);
 }
 
-void SharedRanksPolicy::forgiveDebts()
+void SharedRanksPolicy::limitUncontendedDebts()
 {
     for (RankQueue &rank : ranks_) {
-        const Duration most = scaled(uncontendedDebtWindow, rank.share_ * slots_);
-        rank.credit_ = std::max(rank.credit_, -most);
+        const Duration limit = scaled(maxUncontendedDebtTime, rank.share_ * slots_);
+        rank.credit_ = std::max(rank.credit_, -limit);
     }
 }
 
 void SharedRanksPolicy::insert(const QueuedRequest &queued, TimePoint now)
 {
-    settle(now);
-    queueOf(queued).tickets_.insert(queued);
+    updateCredits(now);
+    rankQueueOf(queued).requests_.insert(queued);
 }
 
 void SharedRanksPolicy::erase(const QueuedRequest &queued, TimePoint now)
 {
-    settle(now);
-    queueOf(queued).tickets_.erase(queued);
+    updateCredits(now);
+    rankQueueOf(queued).requests_.erase(queued);
 }
 
-bool SharedRanksPolicy::isOwed(const RankQueue &rank) const
+bool SharedRanksPolicy::hasCreditForNext(const RankQueue &rank) const
 {
-    return rank.share_ > 0.0 && rank.credit_ >= rank.tickets_.frontExpected();
+    return rank.share_ > 0.0 && rank.credit_ >= rank.requests_.frontExpected();
 }
 
 std::optional<std::uint64_t> SharedRanksPolicy::next(TimePoint now)
 {
-    settle(now);
+    updateCredits(now);
     const RankQueue *first = nullptr;
     for (const RankQueue &rank : ranks_) {
-        if (rank.tickets_.isEmpty()) {
+        if (rank.requests_.isEmpty()) {
             continue;
         }
-        if (isOwed(rank)) {
-            return rank.tickets_.frontId();
+        if (hasCreditForNext(rank)) {
+            return rank.requests_.frontId();
         }
         if (first == nullptr) {
             first = &rank;
@@ -107,61 +108,62 @@
     if (first == nullptr) {
         return std::nullopt;
     }
-    return first->tickets_.frontId();
+    return first->requests_.frontId();
 }
 
 void SharedRanksPolicy::start(const QueuedRequest &queued, TimePoint now)
 {
-    settle(now);
-    RankQueue &rank = queueOf(queued);
-    rank.tickets_.start(queued);
+    updateCredits(now);
+    RankQueue &rank = rankQueueOf(queued);
+    rank.requests_.start(queued);
     addCredit(rank, -queued.expected_);
 }
 
 void SharedRanksPolicy::finish(const QueuedRequest &queued, Duration used, TimePoint now)
 {
-    settle(now);
-    RankQueue &rank = queueOf(queued);
-    rank.tickets_.finish(queued, used);
+    updateCredits(now);
+    RankQueue &rank = rankQueueOf(queued);
+    rank.requests_.finish(queued, used);
     addCredit(rank, queued.expected_ - used);
 }
 
 Duration SharedRanksPolicy::wait(const QueuedRequest &queued, const SlotLoad &load) const
 {
     const std::size_t rank = queued.request_.rank_;
-    return waitFor(rank, ranks_.at(rank).tickets_.workAhead(queued), load);
+    return waitFor(rank, ranks_.at(rank).requests_.workAhead(queued), load);
 }
 
 Duration SharedRanksPolicy::waitOfRank(std::size_t rank, const SlotLoad &load) const
 {
-    const WorkspaceFairQueue &tickets = ranks_.at(rank).tickets_;
-    return waitFor(rank, tickets.work(), load);
+    const WorkspaceFairQueue &requests = ranks_.at(rank).requests_;
+    return waitFor(rank, requests.work(), load);
 }
 
-Duration SharedRanksPolicy::waitFor(std::size_t rank, Duration ownAhead, const SlotLoad &load) const
+Duration SharedRanksPolicy::waitFor(std::size_t rank, Duration ownWorkAhead,
+                                    const SlotLoad &load) const
 {
-    Duration moreUrgent{};
-    double keptByOthers = 0.0;
+    Duration moreUrgentWork{};
+    double reservedShare = 0.0;
     for (std::size_t i = 0; i < ranks_.size(); ++i) {
         if (i < rank) {
-            moreUrgent += ranks_[i].tickets_.work();
-        } else if (i > rank && !ranks_[i].tickets_.isEmpty()) {
-            keptByOthers += ranks_[i].share_;
+            moreUrgentWork += ranks_[i].requests_.work();
+        } else if (i > rank && !ranks_[i].requests_.isEmpty()) {
+            reservedShare += ranks_[i].share_;
         }
     }
     const double share = ranks_[rank].share_;
-    const double left = std::max({ 1.0 - keptByOthers, share, 1e-3 });
-    const Duration byOrder = load.waitFor(moreUrgent + ownAhead, left);
+    const double availableShare = std::max({ 1.0 - reservedShare, share, 1e-3 });
+    const Duration waitByPriority = load.waitFor(moreUrgentWork + ownWorkAhead, availableShare);
     if (share <= 0.0) {
-        return byOrder;
+        return waitByPriority;
     }
-    return std::min(byOrder, load.waitFor(ownAhead, share));
+    return std::min(waitByPriority, load.waitFor(ownWorkAhead, share));
 }
 
-bool SharedRanksPolicy::isOverItsPlaces(const RankQueue &rank, std::size_t maxQueued) const
+bool SharedRanksPolicy::exceedsQueueShare(const RankQueue &rank, std::size_t maxQueued) const
 {
-    const double places = rank.share_ * static_cast<double>(maxQueued);
-    return static_cast<double>(rank.tickets_.size()) > std::max(1.0, places);
+    const double queueShare = rank.share_ * static_cast<double>(maxQueued);
+    return static_cast<double>(rank.requests_.size()) > std::max(1.0, queueShare);
 }
 
 std::optional<std::uint64_t> SharedRanksPolicy::victim(const QueuedRequest &queued,
@@ -169,23 +171,23 @@
 {
     const std::size_t own = queued.request_.rank_;
     for (std::size_t i = ranks_.size(); i-- > own + 1;) {
-        if (isOverItsPlaces(ranks_[i], maxQueued)) {
-            return ranks_[i].tickets_.lastIdOfLongestFlow();
+        if (exceedsQueueShare(ranks_[i], maxQueued)) {
+            return ranks_[i].requests_.lastIdOfLongestFlow();
         }
     }
-    if (ranks_[own].tickets_.isShorterThanLongestFlow(queued)) {
-        return ranks_[own].tickets_.lastIdOfLongestFlow();
+    if (ranks_[own].requests_.isShorterThanLongestFlow(queued)) {
+        return ranks_[own].requests_.lastIdOfLongestFlow();
     }
-    if (const auto lesser = findLowerWorth(queued)) {
-        return lesser;
+    if (const auto lowerWorth = findLowerWorth(queued)) {
+        return lowerWorth;
     }
-    const double ownPlaces = ranks_[own].share_ * static_cast<double>(maxQueued);
-    if (static_cast<double>(ranks_[own].tickets_.size() + 1) > ownPlaces) {
+    const double ownQueueShare = ranks_[own].share_ * static_cast<double>(maxQueued);
+    if (static_cast<double>(ranks_[own].requests_.size() + 1) > ownQueueShare) {
         return std::nullopt;
     }
     for (std::size_t i = own; i-- > 0;) {
-        if (isOverItsPlaces(ranks_[i], maxQueued)) {
-            return ranks_[i].tickets_.lastIdOfLongestFlow();
+        if (exceedsQueueShare(ranks_[i], maxQueued)) {
+            return ranks_[i].requests_.lastIdOfLongestFlow();
         }
     }
     return std::nullopt;
@@ -193,7 +195,7 @@
 
 std::optional<std::uint64_t> SharedRanksPolicy::findLowerWorth(const QueuedRequest &queued) const
 {
-    return ranks_.at(queued.request_.rank_).tickets_.findLowerWorth(queued);
+    return ranks_.at(queued.request_.rank_).requests_.findLowerWorth(queued);
 }
 
 nlohmann::json SharedRanksPolicy::dump() const
@@ -203,8 +205,8 @@
         const std::chrono::duration<double, std::milli> credit = rank.credit_;
         ranks.push_back({ { "share", rank.share_ },
                           { "credit_ms", credit.count() },
-                          { "queued", rank.tickets_.size() },
-                          { "workspaces", rank.tickets_.workspaceCount() } });
+                          { "queued", rank.requests_.size() },
+                          { "workspaces", rank.requests_.workspaceCount() } });
     }
     return { { "policy", name() }, { "ranks", ranks } };
 }
--- a/packages/qz_admission/policies/sharedrankspolicy.h
+++ b/packages/qz_admission/policies/sharedrankspolicy.h
@@ -1,4 +1,4 @@
-// Rank order with a share of the slots' time that each rank keeps: the chosen policy.
+// Priority between ranks with a guaranteed minimum share of slot time for each. The default policy.
 #pragma once
 
 #include "qz_admission/policies/slotload.h"
@@ -12,14 +12,16 @@
 
 namespace qz {
 
-/// Serves the most urgent rank that has queued work, unless a rank has been kept from its
-/// share: a rank with queued work earns its share of the slots' time, pays for each slot it
-/// takes, and goes first once it has earned the time that its next ticket needs.
-/// Within a rank, workspaces share by weight.
-/// A rank that had to refuse work takes only what can be answered within its target.
-/// In a full queue each rank keeps its share of the places in the same way. What a rank must give
-/// up is what earns the least worth per slot time.
-/// @see AdmissionPolicy for the members, WorkspaceFairQueue
+/// Serves the most urgent rank that has queued work and guarantees each rank its configured share
+/// of slot time. A rank with queued work earns credit at the rate of its share and spends the
+/// service time of each request it starts. A rank whose credit covers its next request goes
+/// before more urgent ranks.
+///
+/// Within a rank, workspaces share by weight. An overloaded rank accepts only requests that can be
+/// answered within its target. In a full queue, each rank is guaranteed its share of the places: a
+/// rank over its share drops the last request of its longest flow. Within a rank, a new request
+/// can also displace one of lower worth per slot time.
+/// @see AdmissionPolicy, which describes the members, WorkspaceFairQueue
 class SharedRanksPolicy
 {
 public:
@@ -41,21 +43,21 @@
     struct RankQueue
     {
         double share_ = 0.0; ///< The shares of all ranks sum to at most 1.
-        Duration credit_{};  ///< Slot time earned and not used; negative: used ahead.
-        WorkspaceFairQueue tickets_;
+        Duration credit_{};  ///< Unspent slot time; negative if overdrawn.
+        WorkspaceFairQueue requests_;
     };
 
-    RankQueue &queueOf(const QueuedRequest &queued) { return ranks_.at(queued.request_.rank_); }
-    void settle(TimePoint now);
+    RankQueue &rankQueueOf(const QueuedRequest &queued) { return ranks_.at(queued.request_.rank_); }
+    void updateCredits(TimePoint now);
     void addCredit(RankQueue &rank, Duration amount) const;
-    void forgiveDebts();
-    bool isOwed(const RankQueue &rank) const;
-    Duration waitFor(std::size_t rank, Duration ownAhead, const SlotLoad &load) const;
-    bool isOverItsPlaces(const RankQueue &rank, std::size_t maxQueued) const;
+    void limitUncontendedDebts();
+    bool hasCreditForNext(const RankQueue &rank) const;
+    Duration waitFor(std::size_t rank, Duration ownWorkAhead, const SlotLoad &load) const;
+    bool exceedsQueueShare(const RankQueue &rank, std::size_t maxQueued) const;
 
     int slots_ = 1;
     std::vector<RankQueue> ranks_;
-    TimePoint settledAt_{}; ///< Credits are as of this time.
+    TimePoint creditsUpdatedAt_{}; ///< Time of the last credit update.
 };
 
 } // namespace qz
--- a/packages/qz_admission/policies/slotload.h
+++ b/packages/qz_admission/policies/slotload.h
@@ -1,21 +1,22 @@
-// The occupation of a backend server's slots, as input of wait estimates.
+// The current load of a backend server's slots, used to estimate waits.
 #pragma once
 
 #include "qz_core/time/clock.h"
 
 namespace qz {
 
-/// What the running requests still need of the slots.
+/// The work that the running requests still have to do.
 struct SlotLoad
 {
     int slots_ = 1;        ///< At least 1.
-    Duration remaining_{}; ///< Expected slot time until all running requests have ended.
+    Duration remaining_{}; ///< Sum of the expected remaining times of the running requests.
     bool hasFreeSlot_ = true;
 
-    /// The expected wait for @p ahead of slot time at @p share of all slots.
-    Duration waitFor(Duration ahead, double share = 1.0) const
+    /// Returns the expected wait behind @p queuedWork, in slot time, if @p share (above 0, at most
+    /// 1) of all slots serves it.
+    Duration waitFor(Duration queuedWork, double share = 1.0) const
     {
-        const double queued = static_cast<double>(ahead.count()) / (share * slots_);
+        const double queued = static_cast<double>(queuedWork.count()) / (share * slots_);
         return remaining_ / slots_ + Duration(static_cast<Duration::rep>(queued));
     }
 };
--- a/packages/qz_admission/policies/strictprioritypolicy.cpp
+++ b/packages/qz_admission/policies/strictprioritypolicy.cpp
@@ -1,4 +1,4 @@
-// Strict order of ranks.
+// Serves ranks in strict order of priority.
 #include "qz_admission/policies/strictprioritypolicy.h"
 
 namespace qz {
@@ -50,13 +50,13 @@
 
 Duration StrictPriorityPolicy::waitOfRank(std::size_t rank, const SlotLoad &load) const
 {
-    Duration ahead{};
+    Duration workAhead{};
     for (const auto &[order, queue] : ranks_) {
         if (order <= rank) {
-            ahead += queue.work_;
+            workAhead += queue.work_;
         }
     }
-    return load.waitFor(ahead);
+    return load.waitFor(workAhead);
 }
 
 std::optional<std::uint64_t> StrictPriorityPolicy::victim(const QueuedRequest &queued,
--- a/packages/qz_admission/policies/strictprioritypolicy.h
+++ b/packages/qz_admission/policies/strictprioritypolicy.h
@@ -1,13 +1,14 @@
-// Strict order of ranks, first in first out within a rank: a baseline.
+// Strict priority between ranks, first in, first out within a rank. A baseline for comparison.
 #pragma once
 
 #include "qz_admission/policies/fifopolicy.h"
 
 namespace qz {
 
-/// Serves the most urgent rank that has queued work; a more urgent ticket displaces the
-/// last one of the least urgent rank. Less urgent ranks may starve.
-/// @see AdmissionPolicy for the members
+/// Serves the most urgent rank that has queued work. In a full queue, a new request displaces the
+/// newest request of the least urgent rank if that rank is less urgent than its own. Less urgent
+/// ranks can starve.
+/// @see AdmissionPolicy, which describes the members
 class StrictPriorityPolicy
 {
 public:
@@ -29,7 +30,7 @@
     struct RankQueue
     {
         std::map<std::uint64_t, std::uint64_t> idsBySequence_;
-        Duration work_{}; ///< Sum of the expected times of its queued tickets.
+        Duration work_{}; ///< Sum of the expected service times of its queued requests.
     };
 
     std::map<std::size_t, RankQueue> ranks_; ///< Only ranks with queued work.
--- a/packages/qz_admission/policies/workspacefairqueue.cpp
+++ b/packages/qz_admission/policies/workspacefairqueue.cpp
@@ -9,22 +9,22 @@
 
 namespace {
 
-/// Stands in for service times that aren't known yet.
-constexpr Duration shortestService = std::chrono::microseconds(1);
+/// Lower bound that avoids a division by zero while a service time is not known yet.
+constexpr Duration minServiceTime = std::chrono::microseconds(1);
 
-/// How many of the least worthy tickets are looked at for one that may be given up.
-constexpr int maxLookedAt = 8;
+/// How many of the requests of the least worth are examined in the search for one to drop.
+constexpr int maxExamined = 8;
 
 } // namespace
 
-WorkspaceFairQueue::Position WorkspaceFairQueue::positionOf(const QueuedRequest &queued)
+WorkspaceFairQueue::DeadlineKey WorkspaceFairQueue::deadlineKeyOf(const QueuedRequest &queued)
 {
     return { queued.request_.deadline_, queued.sequence_ };
 }
 
-WorkspaceFairQueue::Rating WorkspaceFairQueue::ratingOf(const QueuedRequest &queued)
+WorkspaceFairQueue::WorthKey WorkspaceFairQueue::worthKeyOf(const QueuedRequest &queued)
 {
-    const Duration expected = std::max(queued.expected_, shortestService);
+    const Duration expected = std::max(queued.expected_, minServiceTime);
     const double seconds = std::chrono::duration<double>(expected).count();
     return { queued.request_.worth_ / seconds, queued.sequence_ };
 }
@@ -34,106 +34,107 @@
     return std::chrono::duration<double>(time).count() / weight;
 }
 
-double WorkspaceFairQueue::lengthOf(const Flow &flow)
+double WorkspaceFairQueue::weightedLength(const Flow &flow)
 {
-    // Counted in tickets, so that it means something before any service time is known.
-    return static_cast<double>(flow.waiting_.size()) / flow.weight_;
+    // Counts requests rather than work, because no service time is known at first.
+    return static_cast<double>(flow.requests_.size()) / flow.weight_;
 }
 
-void WorkspaceFairQueue::link(Flow &flow)
+void WorkspaceFairQueue::addToIndexes(Flow &flow)
 {
-    active_.emplace(Tag{ flow.tag_, flow.order_ }, &flow);
-    lengths_.emplace(Tag{ lengthOf(flow), flow.order_ }, &flow);
+    active_.emplace(FlowKey{ flow.startTag_, flow.order_ }, &flow);
+    byLength_.emplace(FlowKey{ weightedLength(flow), flow.order_ }, &flow);
     activeWeight_ += flow.weight_;
 }
 
-void WorkspaceFairQueue::unlink(const Flow &flow)
+void WorkspaceFairQueue::removeFromIndexes(const Flow &flow)
 {
-    active_.erase(Tag{ flow.tag_, flow.order_ });
-    lengths_.erase(Tag{ lengthOf(flow), flow.order_ });
+    active_.erase(FlowKey{ flow.startTag_, flow.order_ });
+    byLength_.erase(FlowKey{ weightedLength(flow), flow.order_ });
     activeWeight_ -= flow.weight_;
 }
 
 void WorkspaceFairQueue::insert(const QueuedRequest &queued)
 {
     assert(queued.request_.weight_ > 0.0);
-    const auto [known, isNew] = flows_.try_emplace(queued.request_.workspace_);
-    Flow &flow = known->second;
+    const auto [found, isNew] = flows_.try_emplace(queued.request_.workspace_);
+    Flow &flow = found->second;
     if (isNew) {
         flow.order_ = nextOrder_++;
     }
-    if (flow.waiting_.empty()) {
-        idle_.erase(Tag{ flow.tag_, flow.order_ });
-        flow.tag_ = std::max(flow.tag_, virtualTime_);
+    if (flow.requests_.empty()) {
+        idle_.erase(FlowKey{ flow.startTag_, flow.order_ });
+        flow.startTag_ = std::max(flow.startTag_, virtualTime_);
     } else {
-        unlink(flow);
+        removeFromIndexes(flow);
     }
     flow.weight_ = queued.request_.weight_;
-    flow.waiting_.emplace(positionOf(queued), Waiting{ queued.request_.id_, queued.expected_ });
-    ratings_.emplace(ratingOf(queued), Rated{ queued.request_.id_, &flow });
+    flow.requests_.emplace(deadlineKeyOf(queued),
+                           FlowEntry{ queued.request_.id_, queued.expected_ });
+    byWorth_.emplace(worthKeyOf(queued), WorthEntry{ queued.request_.id_, &flow });
     flow.work_ += queued.expected_;
     work_ += queued.expected_;
     ++size_;
-    link(flow);
+    addToIndexes(flow);
 }
 
-void WorkspaceFairQueue::takeOut(Flow &flow, const QueuedRequest &queued)
+void WorkspaceFairQueue::remove(Flow &flow, const QueuedRequest &queued)
 {
-    unlink(flow);
-    flow.waiting_.erase(positionOf(queued));
-    ratings_.erase(ratingOf(queued));
+    removeFromIndexes(flow);
+    flow.requests_.erase(deadlineKeyOf(queued));
+    byWorth_.erase(worthKeyOf(queued));
     flow.work_ -= queued.expected_;
     work_ -= queued.expected_;
     --size_;
-    if (flow.waiting_.empty()) {
-        idle_.emplace(Tag{ flow.tag_, flow.order_ }, queued.request_.workspace_);
+    if (flow.requests_.empty()) {
+        idle_.emplace(FlowKey{ flow.startTag_, flow.order_ }, queued.request_.workspace_);
     } else {
-        link(flow);
+        addToIndexes(flow);
     }
 }
 
 void WorkspaceFairQueue::erase(const QueuedRequest &queued)
 {
-    takeOut(flows_.at(queued.request_.workspace_), queued);
-    forgetIdle();
+    remove(flows_.at(queued.request_.workspace_), queued);
+    removeIdleFlows();
 }
 
 void WorkspaceFairQueue::start(const QueuedRequest &queued)
 {
     Flow &flow = flows_.at(queued.request_.workspace_);
-    virtualTime_ = std::max(virtualTime_, flow.tag_);
-    takeOut(flow, queued);
-    moveTag(flow, flow.tag_ + virtualTime(queued.expected_, flow.weight_));
-    forgetIdle();
+    virtualTime_ = std::max(virtualTime_, flow.startTag_);
+    remove(flow, queued);
+    setStartTag(flow, flow.startTag_ + virtualTime(queued.expected_, flow.weight_));
+    removeIdleFlows();
 }
 
 void WorkspaceFairQueue::finish(const QueuedRequest &queued, Duration used)
 {
-    const auto known = flows_.find(queued.request_.workspace_);
-    if (known == flows_.end()) {
-        return; // The others had caught up.
+    const auto found = flows_.find(queued.request_.workspace_);
+    if (found == flows_.end()) {
+        return; // The flow was removed: the other flows had caught up with it.
     }
-    Flow &flow = known->second;
+    Flow &flow = found->second;
     const double correction = virtualTime(used - queued.expected_, flow.weight_);
-    moveTag(flow, std::max(flow.tag_ + correction, virtualTime_));
-    forgetIdle();
+    setStartTag(flow, std::max(flow.startTag_ + correction, virtualTime_));
+    removeIdleFlows();
 }
 
-void WorkspaceFairQueue::moveTag(Flow &flow, double tag)
+void WorkspaceFairQueue::setStartTag(Flow &flow, double tag)
 {
-    const Tag before{ flow.tag_, flow.order_ };
-    flow.tag_ = tag;
-    if (flow.waiting_.empty()) {
-        auto node = idle_.extract(before);
-        node.key() = Tag{ tag, flow.order_ };
+    const FlowKey oldKey{ flow.startTag_, flow.order_ };
+    flow.startTag_ = tag;
+    if (flow.requests_.empty()) {
+        auto node = idle_.extract(oldKey);
+        node.key() = FlowKey{ tag, flow.order_ };
         idle_.insert(std::move(node));
     } else {
-        active_.erase(before);
-        active_.emplace(Tag{ tag, flow.order_ }, &flow);
+        active_.erase(oldKey);
+        active_.emplace(FlowKey{ tag, flow.order_ }, &flow);
     }
 }
 
-void WorkspaceFairQueue::forgetIdle()
+void WorkspaceFairQueue::removeIdleFlows()
 {
     if (active_.empty() && !idle_.empty()) {
         virtualTime_ = std::max(virtualTime_, idle_.rbegin()->first.value_);
@@ -147,48 +148,48 @@
 std::uint64_t WorkspaceFairQueue::frontId() const
 {
     assert(!isEmpty());
-    return active_.begin()->second->waiting_.begin()->second.id_;
+    return active_.begin()->second->requests_.begin()->second.id_;
 }
 
 Duration WorkspaceFairQueue::frontExpected() const
 {
     assert(!isEmpty());
-    return active_.begin()->second->waiting_.begin()->second.expected_;
+    return active_.begin()->second->requests_.begin()->second.expected_;
 }
 
 std::uint64_t WorkspaceFairQueue::lastIdOfLongestFlow() const
 {
     assert(!isEmpty());
-    return lengths_.rbegin()->second->waiting_.rbegin()->second.id_;
+    return byLength_.rbegin()->second->requests_.rbegin()->second.id_;
 }
 
-double WorkspaceFairQueue::lengthWith(const QueuedRequest &queued) const
+double WorkspaceFairQueue::weightedLengthWith(const QueuedRequest &queued) const
 {
-    const auto known = flows_.find(queued.request_.workspace_);
-    const std::size_t held = known == flows_.end() ? 0 : known->second.waiting_.size();
-    return static_cast<double>(held + 1) / queued.request_.weight_;
+    const auto found = flows_.find(queued.request_.workspace_);
+    const std::size_t queuedCount = found == flows_.end() ? 0 : found->second.requests_.size();
+    return static_cast<double>(queuedCount + 1) / queued.request_.weight_;
 }
 
 bool WorkspaceFairQueue::isShorterThanLongestFlow(const QueuedRequest &queued) const
 {
-    return !isEmpty() && lengthWith(queued) < lengths_.rbegin()->first.value_;
+    return !isEmpty() && weightedLengthWith(queued) < byLength_.rbegin()->first.value_;
 }
 
 std::optional<std::uint64_t> WorkspaceFairQueue::findLowerWorth(const QueuedRequest &queued) const
 {
-    const auto known = flows_.find(queued.request_.workspace_);
-    const Flow *own = known == flows_.end() ? nullptr : &known->second;
-    const double length = lengthWith(queued);
-    const double density = ratingOf(queued).density_;
-    int lookedAt = 0;
-    for (const auto &[rating, rated] : ratings_) {
-        if (rating.density_ >= density || lookedAt == maxLookedAt) {
+    const auto found = flows_.find(queued.request_.workspace_);
+    const Flow *own = found == flows_.end() ? nullptr : &found->second;
+    const double length = weightedLengthWith(queued);
+    const double worthPerSecond = worthKeyOf(queued).worthPerSecond_;
+    int examined = 0;
+    for (const auto &[worthKey, entry] : byWorth_) {
+        if (worthKey.worthPerSecond_ >= worthPerSecond || examined == maxExamined) {
             return std::nullopt;
         }
-        if (rated.flow_ == own || lengthOf(*rated.flow_) >= length) {
-            return rated.id_;
+        if (entry.flow_ == own || weightedLength(*entry.flow_) >= length) {
+            return entry.id_;
         }
-        ++lookedAt;
+        ++examined;
     }
     return std::nullopt;
 }
@@ -196,28 +197,28 @@
 Duration WorkspaceFairQueue::workAhead(const QueuedRequest &queued) const
 {
     const double weight = queued.request_.weight_;
-    const auto known = flows_.find(queued.request_.workspace_);
-    if (known == flows_.end() || known->second.waiting_.empty()) {
-        return otherWorkAhead(queued.expected_, weight, Duration{}, 0.0);
+    const auto found = flows_.find(queued.request_.workspace_);
+    if (found == flows_.end() || found->second.requests_.empty()) {
+        return workOfOthersAhead(queued.expected_, weight, Duration{}, 0.0);
     }
-    const Flow &flow = known->second;
+    const Flow &flow = found->second;
     Duration earlier = flow.work_;
-    const Position position = positionOf(queued);
-    for (auto later = flow.waiting_.rbegin();
-         later != flow.waiting_.rend() && position < later->first; ++later) {
+    const DeadlineKey deadlineKey = deadlineKeyOf(queued);
+    for (auto later = flow.requests_.rbegin();
+         later != flow.requests_.rend() && deadlineKey < later->first; ++later) {
         earlier -= later->second.expected_;
     }
     const Duration own = earlier + queued.expected_;
-    return earlier + otherWorkAhead(own, weight, flow.work_, flow.weight_);
+    return earlier + workOfOthersAhead(own, weight, flow.work_, flow.weight_);
 }
 
 Duration WorkspaceFairQueue::workAheadOfNewWorkspace(Duration expected) const
 {
-    return otherWorkAhead(expected, 1.0, Duration{}, 0.0);
+    return workOfOthersAhead(expected, 1.0, Duration{}, 0.0);
 }
 
-Duration WorkspaceFairQueue::otherWorkAhead(Duration own, double weight, Duration ownWork,
-                                            double ownActiveWeight) const
+Duration WorkspaceFairQueue::workOfOthersAhead(Duration own, double weight, Duration ownWork,
+                                               double ownActiveWeight) const
 {
     const double otherWeight = activeWeight_ - ownActiveWeight;
     const double fair = static_cast<double>(own.count()) * otherWeight / weight;
--- a/packages/qz_admission/policies/workspacefairqueue.h
+++ b/packages/qz_admission/policies/workspacefairqueue.h
@@ -9,8 +9,9 @@
 
 namespace qz {
 
-/// Start-time fair queueing over workspaces by weight. A workspace has state only while it
-/// has queued work, or until the others have caught up with the service that it had.
+/// Start-time fair queueing over workspaces by weight. Each workspace is one flow. A flow exists
+/// while its workspace has queued requests or its start tag is ahead of virtual time, that is,
+/// until the other flows have received as much service.
 /// @see SharedRanksPolicy
 class WorkspaceFairQueue
 {
@@ -24,33 +25,38 @@
 
     void insert(const QueuedRequest &queued);
 
-    /// Takes out a ticket that leaves without a slot.
+    /// Removes a request that leaves the queue without a slot.
     void erase(const QueuedRequest &queued);
 
-    /// Takes out a ticket that gets a slot, and charges its workspace the expected time.
+    /// Removes a request that gets a slot and charges its workspace the expected service time.
     void start(const QueuedRequest &queued);
 
-    /// Corrects the charge of a started ticket to the slot time that it @p used.
+    /// Replaces the charge for a started request by the slot time that it @p used.
     void finish(const QueuedRequest &queued, Duration used);
 
-    /// The ticket to start next. The queue must not be empty.
+    /// Returns the id of the request to start next. The queue must not be empty.
     std::uint64_t frontId() const;
+
+    /// Returns the expected service time of the request to start next. The queue must not be empty.
     Duration frontExpected() const;
 
-    /// The last ticket of the workspace with the most queued work by weight.
+    /// Returns the id of the last request of the longest flow, the one with the most queued
+    /// requests per weight. The queue must not be empty.
     std::uint64_t lastIdOfLongestFlow() const;
 
-    /// Whether a ticket of this workspace and weight would still hold less than the longest one.
+    /// Returns whether the flow of @p queued, including @p queued, is shorter than the longest one.
     bool isShorterThanLongestFlow(const QueuedRequest &queued) const;
 
-    /// A ticket that earns less worth per slot time than @p queued, of a workspace that holds at
-    /// least as much by weight as that of @p queued would; the least worthy and latest one.
+    /// Returns the id of a request that has less worth per slot time than @p queued and belongs to
+    /// the same workspace or to a flow at least as long as that of @p queued would be with it. Of
+    /// several, it is the one with the least worth per slot time and, among equals, the newest.
+    /// Looks only at the few requests of the least worth.
     std::optional<std::uint64_t> findLowerWorth(const QueuedRequest &queued) const;
 
-    /// The slot time of this queue that would be served before @p queued.
+    /// Returns the slot time of this queue that would be served before @p queued.
     Duration workAhead(const QueuedRequest &queued) const;
 
-    /// The same for a ticket of a workspace of weight 1 that has no queued work.
+    /// Like workAhead(), for a request of a workspace of weight 1 that has no queued requests.
     Duration workAheadOfNewWorkspace(Duration expected) const;
 
     Duration work() const { return work_; }
@@ -59,77 +65,78 @@
     std::size_t workspaceCount() const { return flows_.size(); }
 
 private:
-    struct Position
+    struct DeadlineKey
     {
         TimePoint deadline_;
         std::uint64_t sequence_ = 0;
-        friend bool operator<(const Position &a, const Position &b)
+        friend bool operator<(const DeadlineKey &a, const DeadlineKey &b)
         {
             return a.deadline_ != b.deadline_ ? a.deadline_ < b.deadline_
                                               : a.sequence_ < b.sequence_;
         }
     };
-    struct Waiting
+    struct FlowEntry
     {
         std::uint64_t id_ = 0;
         Duration expected_{};
     };
-    struct Tag
+    struct FlowKey
     {
         double value_ = 0.0;
-        std::uint64_t order_ = 0; ///< Breaks ties by the order in which workspaces came.
-        friend bool operator<(const Tag &a, const Tag &b)
+        std::uint64_t order_ = 0; ///< Breaks ties by the creation order of the flows.
+        friend bool operator<(const FlowKey &a, const FlowKey &b)
         {
             return a.value_ != b.value_ ? a.value_ < b.value_ : a.order_ < b.order_;
         }
     };
     struct Flow
     {
-        std::map<Position, Waiting> waiting_;
-        Duration work_{}; ///< Sum of the expected times of waiting_.
+        std::map<DeadlineKey, FlowEntry> requests_;
+        Duration work_{}; ///< Sum of the expected service times of requests_.
         double weight_ = 1.0;
-        double tag_ = 0.0; ///< Virtual time at which its next ticket may start.
+        double startTag_ = 0.0; ///< Virtual time at which its next request may start.
         std::uint64_t order_ = 0;
     };
 
-    struct Rating
+    struct WorthKey
     {
-        double density_ = 0.0; ///< Worth per second of slot time.
+        double worthPerSecond_ = 0.0; ///< Per second of slot time.
         std::uint64_t sequence_ = 0;
-        friend bool operator<(const Rating &a, const Rating &b)
+        friend bool operator<(const WorthKey &a, const WorthKey &b)
         {
-            return a.density_ != b.density_ ? a.density_ < b.density_ : a.sequence_ > b.sequence_;
+            return a.worthPerSecond_ != b.worthPerSecond_ ? a.worthPerSecond_ < b.worthPerSecond_
+                                                          : a.sequence_ > b.sequence_;
         }
     };
-    struct Rated
+    struct WorthEntry
     {
         std::uint64_t id_ = 0;
         const Flow *flow_ = nullptr;
     };
 
-    static Rating ratingOf(const QueuedRequest &queued);
-    double lengthWith(const QueuedRequest &queued) const;
-    static Position positionOf(const QueuedRequest &queued);
+    static WorthKey worthKeyOf(const QueuedRequest &queued);
+    double weightedLengthWith(const QueuedRequest &queued) const;
+    static DeadlineKey deadlineKeyOf(const QueuedRequest &queued);
     static double virtualTime(Duration time, double weight);
-    static double lengthOf(const Flow &flow);
-    void takeOut(Flow &flow, const QueuedRequest &queued);
-    void link(Flow &flow);
-    void unlink(const Flow &flow);
-    void moveTag(Flow &flow, double tag);
-    void forgetIdle();
-    Duration otherWorkAhead(Duration own, double weight, Duration ownWork,
-                            double ownActiveWeight) const;
+    static double weightedLength(const Flow &flow);
+    void remove(Flow &flow, const QueuedRequest &queued);
+    void addToIndexes(Flow &flow);
+    void removeFromIndexes(const Flow &flow);
+    void setStartTag(Flow &flow, double tag);
+    void removeIdleFlows();
+    Duration workOfOthersAhead(Duration own, double weight, Duration ownWork,
+                               double ownActiveWeight) const;
 
     std::unordered_map<WorkspaceId, Flow> flows_;
-    std::map<Tag, Flow *> active_;    ///< Exactly the flows with waiting tickets, by tag.
-    std::map<Tag, WorkspaceId> idle_; ///< Exactly the other flows; each tag is above virtual time.
-    std::map<Rating, Rated> ratings_; ///< All waiting tickets, least worthy first.
-    std::map<Tag, Flow *> lengths_;   ///< The flows of active_, by work over weight.
-    double virtualTime_ = 0.0;        ///< Never falls; the start tag of the last started ticket.
-    double activeWeight_ = 0.0;       ///< Sum of the weights of active_.
+    std::map<FlowKey, Flow *> active_;       ///< The flows with queued requests, by start tag.
+    std::map<FlowKey, WorkspaceId> idle_;    ///< The other flows; their tags exceed virtualTime_.
+    std::map<WorthKey, WorthEntry> byWorth_; ///< All queued requests, least worth first.
+    std::map<FlowKey, Flow *> byLength_;     ///< The flows of active_, by requests per weight.
+    double virtualTime_ = 0.0;  ///< Start tag of the last start, or later; never decreases.
+    double activeWeight_ = 0.0; ///< Sum of the weights in active_.
     std::uint64_t nextOrder_ = 0;
     Duration work_{};      ///< Sum of the work of all flows.
-    std::size_t size_ = 0; ///< Number of waiting tickets in all flows.
+    std::size_t size_ = 0; ///< Number of queued requests in all flows.
 };
 
 } // namespace qz
--- a/packages/qz_admission/queue/admissionqueue.cpp
+++ b/packages/qz_admission/queue/admissionqueue.cpp
@@ -1,4 +1,4 @@
-// The queue of one gate.
+// The queue of requests that wait for the slots of one backend server.
 #include "qz_admission/queue/admissionqueue.h"
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// An overload is over once nothing was refused for so many times the target of the rank.
-constexpr int overloadQuietTargets = 2;
+/// An overload ends after this time without refusals, in multiples of the rank's target.
+constexpr int overloadQuietPeriodInTargets = 2;
 
 } // namespace
 
@@ -48,19 +48,20 @@
     return queue;
 }
 
-Result<void> AdmissionQueue::offer(AdmissionRequest ticket, TimePoint now)
+Result<void> AdmissionQueue::offer(AdmissionRequest request, TimePoint now)
 {
-    assert(queued_.count(ticket.id_) == 0 && running_.count(ticket.id_) == 0);
-    latest_ = std::max(latest_, now);
+    assert(queued_.count(request.id_) == 0 && running_.count(request.id_) == 0);
+    latestTime_ = std::max(latestTime_, now);
     dropExpired(now);
-    ticket.rank_ = std::min(ticket.rank_, ranks_.size() - 1);
-    const Duration expected = serviceTimes_.expected(ticket.kind_);
-    QueuedRequest queued{ std::move(ticket), nextSequence_++, now, {}, expected };
+    request.rank_ = std::min(request.rank_, ranks_.size() - 1);
+    const Duration expected = serviceTimes_.expected(request.kind_);
+    QueuedRequest queued{ std::move(request), nextSequence_++, now, {}, expected };
     queued.predictedWait_ = predictedWait(queued, now);
-    BOOST_OUTCOME_TRY(makeTime(queued, now));
-    if (!makePlace(queued, now)) {
+    BOOST_OUTCOME_TRY(ensureTimeLimit(queued, now));
+    if (!ensureQueueSpace(queued, now)) {
         recordOverload(queued, now);
-        return failure(ErrorKind::QueueFull, "the queue is full of work that goes first");
+        return failure(ErrorKind::QueueFull,
+                       "the queue is full and contains no request that this one may displace");
     }
     insert(std::move(queued), now);
     return success();
@@ -72,9 +73,9 @@
     return std::visit([&](const auto &policy) { return policy.wait(queued, load); }, policy_);
 }
 
-TimePoint AdmissionQueue::expectedAnswer(const QueuedRequest &queued, TimePoint now) const
+TimePoint AdmissionQueue::expectedAnswerTime(const QueuedRequest &queued, TimePoint now) const
 {
-    const WaitCorrection &correction = corrections_[queued.request_.rank_];
+    const WaitCorrection &correction = waitCorrections_[queued.request_.rank_];
     const Duration wait = correction.corrected(queued.predictedWait_);
     return now + wait + serviceTimes_.conservative(queued.request_.kind_);
 }
@@ -84,51 +85,54 @@
     return ranks_[std::min(rank, ranks_.size() - 1)].target_;
 }
 
-bool AdmissionQueue::isHeldToTarget(std::size_t rank, TimePoint now) const
+bool AdmissionQueue::isLimitedToTarget(std::size_t rank, TimePoint now) const
 {
     const bool isLimiting =
             std::visit([](const auto &policy) { return policy.limitsOverloadToTarget(); }, policy_);
     const Duration target = targetOf(rank);
     return isLimiting && target > Duration{}
-    && overloads_[rank].isOverloaded(now, overloadQuietTargets * target);
+    && overloadDetectors_[rank].isOverloaded(now, overloadQuietPeriodInTargets * target);
 }
 
-Result<void> AdmissionQueue::makeTime(const QueuedRequest &queued, TimePoint now)
+Result<void> AdmissionQueue::ensureTimeLimit(const QueuedRequest &queued, TimePoint now)
 {
     const std::size_t rank = queued.request_.rank_;
-    const TimePoint answer = expectedAnswer(queued, now);
-    const TimePoint inTarget = now + targetOf(rank);
+    const TimePoint answerTime = expectedAnswerTime(queued, now);
+    const TimePoint targetTime = now + targetOf(rank);
     const TimePoint deadline = queued.request_.deadline_;
-    const TimePoint limit = isHeldToTarget(rank, now) ? std::min(deadline, inTarget) : deadline;
-    if (answer <= limit || displaceLessWorthy(queued, answer - limit, now)) {
+    const TimePoint limit =
+            isLimitedToTarget(rank, now) ? std::min(deadline, targetTime) : deadline;
+    if (answerTime <= limit || displaceLowerWorth(queued, answerTime - limit, now)) {
         return success();
     }
-    if (answer > inTarget) {
-        overloads_[rank].recordRefusal(now);
+    if (answerTime > targetTime) {
+        overloadDetectors_[rank].recordRefusal(now);
     }
-    if (answer <= deadline) {
-        return failure(ErrorKind::QueueFull, "the rank is overloaded up to its target");
+    if (answerTime <= deadline) {
+        return failure(ErrorKind::QueueFull,
+                       "the rank is overloaded and the answer would miss its target time");
     }
-    return failure(ErrorKind::DeadlineUnreachable, "the work ahead leaves no time to answer");
+    return failure(ErrorKind::DeadlineUnreachable,
+                   "the queued work leaves no time to answer before the deadline");
 }
 
-bool AdmissionQueue::displaceLessWorthy(const QueuedRequest &queued, Duration late, TimePoint now)
+bool AdmissionQueue::displaceLowerWorth(const QueuedRequest &queued, Duration excess, TimePoint now)
 {
-    const auto lesser =
+    const auto lowerWorth =
             std::visit([&](const auto &policy) { return policy.findLowerWorth(queued); }, policy_);
-    if (!lesser || late > queued_.at(*lesser).expected_ / std::max(1, slots_)) {
+    if (!lowerWorth || excess > queued_.at(*lowerWorth).expected_ / std::max(1, slots_)) {
         return false;
     }
-    drop(*lesser, ErrorKind::DeadlineUnreachable, now);
+    drop(*lowerWorth, ErrorKind::DeadlineUnreachable, now);
     return true;
 }
 
 void AdmissionQueue::recordOverload(const QueuedRequest &queued, TimePoint now)
 {
-    overloads_[queued.request_.rank_].recordRefusal(now);
+    overloadDetectors_[queued.request_.rank_].recordRefusal(now);
 }
 
-bool AdmissionQueue::makePlace(const QueuedRequest &queued, TimePoint now)
+bool AdmissionQueue::ensureQueueSpace(const QueuedRequest &queued, TimePoint now)
 {
     if (queued_.size() < maxQueued_) {
         return true;
@@ -158,7 +162,7 @@
 
 std::optional<AdmissionRequest> AdmissionQueue::startNext(TimePoint now)
 {
-    latest_ = std::max(latest_, now);
+    latestTime_ = std::max(latestTime_, now);
     if (running_.size() >= static_cast<std::size_t>(std::max(0, slots_))) {
         return std::nullopt;
     }
@@ -171,22 +175,22 @@
     assert(!node.empty());
     QueuedRequest &queued = node.mapped();
     expiries_.erase(expiryOf(queued));
-    WaitCorrection &correction = corrections_[queued.request_.rank_];
+    WaitCorrection &correction = waitCorrections_[queued.request_.rank_];
     correction.record(queued.predictedWait_, now - queued.offeredAt_);
     std::visit([&](auto &policy) { policy.start(queued, now); }, policy_);
-    AdmissionRequest ticket = queued.request_;
-    running_.emplace(*id, Running{ std::move(queued), now });
-    return ticket;
+    AdmissionRequest request = queued.request_;
+    running_.emplace(*id, RunningRequest{ std::move(queued), now });
+    return request;
 }
 
 void AdmissionQueue::finish(std::uint64_t id, TimePoint now, bool recordServiceTime)
 {
-    latest_ = std::max(latest_, now);
+    latestTime_ = std::max(latestTime_, now);
     const auto node = running_.extract(id);
     if (node.empty()) {
         return;
     }
-    const Running &running = node.mapped();
+    const RunningRequest &running = node.mapped();
     const Duration used = now - running.startedAt_;
     if (recordServiceTime) {
         serviceTimes_.record(running.queued_.request_.kind_, used);
@@ -201,13 +205,13 @@
         return false;
     }
     expiries_.erase(expiryOf(node.mapped()));
-    std::visit([&](auto &policy) { policy.erase(node.mapped(), latest_); }, policy_);
+    std::visit([&](auto &policy) { policy.erase(node.mapped(), latestTime_); }, policy_);
     return true;
 }
 
 void AdmissionQueue::drop(std::uint64_t id, ErrorKind kind, TimePoint now)
 {
-    latest_ = std::max(latest_, now);
+    latestTime_ = std::max(latestTime_, now);
     const bool wasQueued = cancel(id);
     assert(wasQueued);
     static_cast<void>(wasQueued);
@@ -227,7 +231,7 @@
 
 std::vector<DroppedRequest> AdmissionQueue::takeDroppedRequests(TimePoint now)
 {
-    latest_ = std::max(latest_, now);
+    latestTime_ = std::max(latestTime_, now);
     dropExpired(now);
     return std::exchange(dropped_, {});
 }
@@ -236,15 +240,15 @@
 {
     slots_ = slots;
     const int countedSlots = std::max(1, slots_);
-    std::visit([&](auto &policy) { policy.configure(countedSlots, ranks_, latest_); }, policy_);
+    std::visit([&](auto &policy) { policy.configure(countedSlots, ranks_, latestTime_); }, policy_);
 }
 
 void AdmissionQueue::setRanks(std::vector<RankShare> ranks)
 {
     assert(!ranks.empty());
     ranks_ = std::move(ranks);
-    overloads_.resize(std::max(overloads_.size(), ranks_.size()));
-    corrections_.resize(overloads_.size());
+    overloadDetectors_.resize(std::max(overloadDetectors_.size(), ranks_.size()));
+    waitCorrections_.resize(overloadDetectors_.size());
     setSlots(slots_);
 }
 
@@ -265,9 +269,10 @@
 
 Duration AdmissionQueue::estimatedWait(std::size_t rank, TimePoint now) const
 {
-    const std::size_t known = std::min(rank, ranks_.size() - 1);
+    const std::size_t boundedRank = std::min(rank, ranks_.size() - 1);
     const SlotLoad load = slotLoad(now);
-    return std::visit([&](const auto &policy) { return policy.waitOfRank(known, load); }, policy_);
+    return std::visit([&](const auto &policy) { return policy.waitOfRank(boundedRank, load); },
+                      policy_);
 }
 
 nlohmann::json AdmissionQueue::dumpState() const
--- a/packages/qz_admission/queue/admissionqueue.h
+++ b/packages/qz_admission/queue/admissionqueue.h
@@ -1,4 +1,4 @@
-// The queue of one gate: slots of one backend server, and the requests that wait for them.
+// The queue of requests that wait for the slots of one backend server.
 #pragma once
 
 #include "qz_admission/estimates/servicetimes.h"
@@ -18,10 +18,10 @@
 
 namespace qz {
 
-/// Decides which request takes the next free slot of a backend server, which waits and which
-/// is refused. Holds no socket and no timer: the owner calls startNext() after each offer and
-/// each finish until it returns nothing, and takeDroppedRequests() at least once per timer tick.
-/// Every ticket that was taken by offer() leaves in exactly one way: by startNext(),
+/// Decides which request takes the next free slot of a backend server, which requests wait and
+/// which are refused. Has no sockets or timers: the owner calls startNext() after each offer() and
+/// finish() until it returns nothing, and takeDroppedRequests() at least once per timer tick.
+/// Every request that offer() accepts leaves the queue in exactly one way: through startNext(),
 /// takeDroppedRequests() or cancel().
 /// @see AdmissionPolicy, ServiceTimes
 class AdmissionQueue
@@ -35,40 +35,43 @@
     AdmissionQueue &operator=(AdmissionQueue &&) = default;
     ~AdmissionQueue() = default;
 
-    /// Queues @p ticket; its id must not be queued or running here.
-    /// A rank beyond the last one counts as the last.
-    /// Errors: QueueFull if the queue is, or if the rank is overloaded and the answer would miss
-    /// its target; DeadlineUnreachable if the work ahead of it and the measured service
-    /// time of its kind leave no time to answer before its deadline.
-    Result<void> offer(AdmissionRequest ticket, TimePoint now);
+    /// Queues @p request, whose id must not be queued or running here. A rank after the last one
+    /// is treated as the last.
+    /// Errors: QueueFull if the queue is full, or if the rank is overloaded and the answer would
+    /// miss its target; DeadlineUnreachable if the work ahead of the request and the service time
+    /// of its kind leave no time to answer before its deadline.
+    Result<void> offer(AdmissionRequest request, TimePoint now);
 
-    /// The next ticket, which takes a slot; nothing if no slot is free or nothing waits.
+    /// Assigns a slot to the next request and returns it. Returns nothing if no slot is free or no
+    /// request is queued.
     std::optional<AdmissionRequest> startNext(TimePoint now);
 
-    /// Frees the slot of @p id, if it is running. @p recordServiceTime: the time since its start is
-    /// the service time of its kind, which it is not after a cancellation or a broken connection.
+    /// Frees the slot of the request @p id, if it is running. Pass true as @p recordServiceTime if
+    /// the time since its start is a valid service time of its kind, which it is not after a
+    /// cancellation or a broken connection.
     void finish(std::uint64_t id, TimePoint now, bool recordServiceTime);
 
-    /// Takes a queued ticket out; false if it isn't queued.
+    /// Removes a queued request. Returns false if it isn't queued.
     bool cancel(std::uint64_t id);
 
-    /// The tickets that expired or were displaced since the last call.
+    /// Returns the requests that expired or were displaced since the last call.
     std::vector<DroppedRequest> takeDroppedRequests(TimePoint now);
 
     std::size_t queued() const { return queued_.size(); }
     std::size_t running() const { return running_.size(); }
     int slots() const { return slots_; }
 
-    /// Running requests above a lowered number end as they would; none is started meanwhile.
+    /// Sets the number of slots. If more requests are running, they continue, and no other request
+    /// starts until a slot is free.
     void setSlots(int slots);
 
-    /// @p ranks from most to least urgent, at least one.
+    /// Sets the ranks, from most to least urgent. There must be at least one.
     void setRanks(std::vector<RankShare> ranks);
 
-    /// How long a new ticket of @p rank would wait for a slot.
+    /// Returns how long a new request of @p rank is expected to wait for a slot.
     Duration estimatedWait(std::size_t rank, TimePoint now) const;
 
-    /// The expected time in a slot of requests of @p kind; zero if nothing was measured yet.
+    /// Returns the expected service time of @p kind; zero if no service time was measured yet.
     Duration expectedServiceTime(const std::string &kind) const
     {
         return serviceTimes_.expected(kind);
@@ -77,7 +80,7 @@
     nlohmann::json dumpState() const;
 
 private:
-    struct Running
+    struct RunningRequest
     {
         QueuedRequest queued_;
         TimePoint startedAt_;
@@ -92,17 +95,17 @@
                                                     : a.id_ < b.id_;
         }
     };
-    using QueuedTickets = std::unordered_map<std::uint64_t, QueuedRequest>;
+    using QueuedRequests = std::unordered_map<std::uint64_t, QueuedRequest>;
 
     AdmissionQueue() = default;
     SlotLoad slotLoad(TimePoint now) const;
     Duration predictedWait(const QueuedRequest &queued, TimePoint now) const;
-    TimePoint expectedAnswer(const QueuedRequest &queued, TimePoint now) const;
+    TimePoint expectedAnswerTime(const QueuedRequest &queued, TimePoint now) const;
     Duration targetOf(std::size_t rank) const;
-    bool isHeldToTarget(std::size_t rank, TimePoint now) const;
-    Result<void> makeTime(const QueuedRequest &queued, TimePoint now);
-    bool displaceLessWorthy(const QueuedRequest &queued, Duration late, TimePoint now);
-    bool makePlace(const QueuedRequest &queued, TimePoint now);
+    bool isLimitedToTarget(std::size_t rank, TimePoint now) const;
+    Result<void> ensureTimeLimit(const QueuedRequest &queued, TimePoint now);
+    bool displaceLowerWorth(const QueuedRequest &queued, Duration excess, TimePoint now);
+    bool ensureQueueSpace(const QueuedRequest &queued, TimePoint now);
     void insert(QueuedRequest queued, TimePoint now);
     void drop(std::uint64_t id, ErrorKind kind, TimePoint now);
     void dropExpired(TimePoint now);
@@ -112,19 +115,22 @@
     AdmissionPolicy policy_;
     int slots_ = 1;
     std::size_t maxQueued_ = 1;
-    std::vector<RankShare> ranks_;            ///< At least one.
-    std::vector<OverloadDetector> overloads_; ///< One for each rank, also of earlier rules.
-    std::vector<WaitCorrection> corrections_; ///< As many as overloads_.
+    std::vector<RankShare> ranks_;                    ///< At least one.
+    std::vector<OverloadDetector> overloadDetectors_; ///< One per rank, also of earlier rules.
+    std::vector<WaitCorrection> waitCorrections_;     ///< Same size as overloadDetectors_.
     ServiceTimes serviceTimes_;
-    QueuedTickets queued_;      ///< At most maxQueued_; the policy holds the same tickets.
-    std::set<Expiry> expiries_; ///< One for each queued ticket.
-    std::unordered_map<std::uint64_t, Running> running_; ///< Grows only while below slots_.
+    QueuedRequests queued_;     ///< At most maxQueued_; the policy holds the same requests.
+    std::set<Expiry> expiries_; ///< One per queued request.
+
+    /// No request starts at or above slots_, but lowering slots_ does not stop running requests.
+    std::unordered_map<std::uint64_t, RunningRequest> running_;
+
     std::vector<DroppedRequest> dropped_;
     std::uint64_t nextSequence_ = 0;
-    TimePoint latest_{}; ///< The latest time seen; for changes that bring no time of their own.
+    TimePoint latestTime_{}; ///< The latest time passed in, for calls without a time.
 };
 
-/// Builds one AdmissionQueue; what isn't set keeps its default.
+/// Builds one AdmissionQueue. Settings that are not set keep their defaults.
 class AdmissionQueue::Builder
 {
 public:
@@ -132,13 +138,14 @@
     Builder &setRanks(std::vector<RankShare> ranks);
     Builder &setMaxQueued(std::size_t maxQueued);
     Builder &setPolicy(AdmissionPolicy policy);
-    /// Gives the policy away: a builder builds once.
+
+    /// Call this at most once: it moves the policy into the queue.
     AdmissionQueue build();
 
 private:
     int slots_ = 1;
     std::vector<RankShare> ranks_{ RankShare{} };
-    std::size_t maxQueued_ = 256; ///< Tickets, over all ranks.
+    std::size_t maxQueued_ = 256; ///< Over all ranks.
     AdmissionPolicy policy_ = SharedRanksPolicy();
 };
 
--- a/packages/qz_admission/queue/admissionrequest.h
+++ b/packages/qz_admission/queue/admissionrequest.h
@@ -1,4 +1,4 @@
-// What an admission queue is told about a request, and about the ranks that share its slots.
+// The inputs and outputs of an admission queue: requests and the settings of the ranks.
 #pragma once
 
 #include "qz_core/errors/errorkind.h"
@@ -10,43 +10,44 @@
 
 namespace qz {
 
-/// One request that asks for a slot.
+/// A request as offered to an admission queue.
 /// @see AdmissionQueue
 struct AdmissionRequest
 {
     std::uint64_t id_ = 0; ///< Unique among the requests of one queue.
     std::size_t rank_ = 0; ///< 0 is the most urgent.
     WorkspaceId workspace_;
-    std::string kind_;    ///< Service times are measured by kind.
-    double worth_ = 1.0;  ///< What an answer in time is worth.
-    TimePoint deadline_;  ///< An answer after this time is worth nothing.
-    double weight_ = 1.0; ///< Of the workspace, against others of the same rank; above 0.
+    std::string kind_;    ///< Service times are estimated per kind.
+    double worth_ = 1.0;  ///< Worth of an answer before the deadline.
+    TimePoint deadline_;  ///< Later answers are worth nothing.
+    double weight_ = 1.0; ///< Weight of the workspace among those of its rank; above 0.
 };
 
-/// What the rules state about one rank.
+/// The settings of one rank.
 struct RankShare
 {
-    double share_ = 0.0; ///< Of the slots' time, 0 to 1, which it keeps while others flood.
-    Duration target_{};  ///< The time from arrival to answer that its callers expect.
-    double worth_ = 1.0; ///< Of a request whose kind states no worth of its own.
+    double share_ = 0.0; ///< Guaranteed share of the slot time, 0 to 1.
+    Duration target_{};  ///< Target time from arrival to answer.
+    double worth_ = 1.0; ///< Default worth of requests whose kind sets none.
 };
 
-/// A ticket with what a policy needs to know about it.
+/// A queued request with the values that the policies use.
 struct QueuedRequest
 {
     AdmissionRequest request_;
-    std::uint64_t sequence_ = 0; ///< Rises with each offer.
+    std::uint64_t sequence_ = 0; ///< Increases with each offer.
     TimePoint offeredAt_;
-    Duration predictedWait_{}; ///< As predicted at the offer, before any correction.
-    Duration expected_{};      ///< Expected time in a slot, as estimated at the offer.
+    Duration predictedWait_{}; ///< Predicted when offered, not corrected.
+    Duration expected_{};      ///< Expected service time, estimated when offered.
 };
 
-/// A ticket that left the queue without a slot.
+/// A request that left the queue without a slot.
 struct DroppedRequest
 {
     std::uint64_t id_ = 0;
-    ErrorKind kind_ = ErrorKind::Internal; ///< DeadlineExpiredInQueue, or displaced: QueueFull,
-                                           ///< DeadlineUnreachable.
+
+    /// DeadlineExpiredInQueue, or QueueFull or DeadlineUnreachable if another request displaced it.
+    ErrorKind kind_ = ErrorKind::Internal;
 };
 
 } // namespace qz
--- a/packages/qz_admission/queue/overloaddetector.h
+++ b/packages/qz_admission/queue/overloaddetector.h
@@ -1,4 +1,4 @@
-// Whether a rank has lately had to refuse work.
+// Detects from recent refusals that a rank is overloaded.
 #pragma once
 
 #include "qz_core/time/clock.h"
@@ -7,19 +7,19 @@
 
 namespace qz {
 
-/// Marks a rank as overloaded from a refusal until it has been without one for a while.
-/// While it lasts there is more work than can be answered, whatever the length of the queue;
-/// a long queue then only makes every answer late.
+/// Considers a rank overloaded from a refusal until no refusal was recorded for a quiet period.
+/// During an overload more work arrives than can be answered, however long the queue is. A longer
+/// queue would only make every answer late.
 /// @see AdmissionQueue
 class OverloadDetector
 {
 public:
     void recordRefusal(TimePoint now) { lastRefusal_ = now; }
 
-    /// Whether a refusal was recorded within @p quiet before @p now.
-    bool isOverloaded(TimePoint now, Duration quiet) const
+    /// Returns whether a refusal was recorded at most @p quietPeriod before @p now.
+    bool isOverloaded(TimePoint now, Duration quietPeriod) const
     {
-        return lastRefusal_ && now - *lastRefusal_ <= quiet;
+        return lastRefusal_ && now - *lastRefusal_ <= quietPeriod;
     }
 
 private:
--- a/packages/qz_admission/qz_admission.h
+++ b/packages/qz_admission/qz_admission.h
@@ -1,6 +1,6 @@
 // Package:      qz_admission
-// Purpose:      the queue of one gate: which request runs next on the backend server's slots,
-//               which waits, and which is refused early.
+// Purpose:      the queue of one gate. It decides which request gets the next slot of the backend
+//               server, which requests wait and which are refused early.
 // Dependencies: qz_core, nlohmann-json
 #pragma once
 
--- a/packages/qz_admission/tests/admissionqueuetest.cpp
+++ b/packages/qz_admission/tests/admissionqueuetest.cpp
@@ -1,4 +1,4 @@
-// Tests of the queue of one gate: slots, deadlines, displacement, cancellation.
+// Tests of AdmissionQueue: slots, deadlines, displacement and cancellation.
 #include "qz_admission/qz_admission.h"
 #include "qz_core/time/manualclock.h"
 
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-qz::AdmissionRequest makeTicket(std::uint64_t id, std::size_t rank, qz::TimePoint deadline)
+qz::AdmissionRequest makeRequest(std::uint64_t id, std::size_t rank, qz::TimePoint deadline)
 {
     return { id, rank, qz::WorkspaceId("ws"), "kind", 1.0, deadline };
 }
@@ -28,17 +28,17 @@
     qz::Result<void> offer(std::uint64_t id, std::size_t rank,
                            qz::Duration deadline = std::chrono::seconds(10))
     {
-        return queue_.offer(makeTicket(id, rank, in(deadline)), clock_.now());
+        return queue_.offer(makeRequest(id, rank, in(deadline)), clock_.now());
     }
 
     std::uint64_t startNext()
     {
-        const auto ticket = queue_.startNext(clock_.now());
-        return ticket ? ticket->id_ : 0;
+        const auto request = queue_.startNext(clock_.now());
+        return request ? request->id_ : 0;
     }
 
-    /// Runs one request of 100 ms, so that a service time is known.
-    void measureOne()
+    /// Runs one request of 100 ms, so that the queue knows a service time.
+    void measureOneRequest()
     {
         BOOST_TEST_REQUIRE(offer(1000, 0).has_value());
         BOOST_TEST_REQUIRE(startNext() == 1000U);
@@ -51,7 +51,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(admissionQueue, Fixture)
 
-BOOST_AUTO_TEST_CASE(noMoreRunThanSlots)
+BOOST_AUTO_TEST_CASE(runsNoMoreRequestsThanSlots)
 {
     for (std::uint64_t id = 1; id <= 4; ++id) {
         BOOST_TEST(offer(id, 0).has_value());
@@ -66,7 +66,7 @@
     BOOST_TEST(queue_.queued() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(loweredSlotsStartNothingUntilEnoughHaveEnded)
+BOOST_AUTO_TEST_CASE(startsNothingAboveALoweredSlotCount)
 {
     for (std::uint64_t id = 1; id <= 4; ++id) {
         BOOST_TEST(offer(id, 0).has_value());
@@ -80,7 +80,7 @@
     BOOST_TEST(startNext() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(anUnknownFinishFreesNoSlot)
+BOOST_AUTO_TEST_CASE(finishOfAnUnknownIdFreesNoSlot)
 {
     offer(1, 0).value();
     offer(2, 0).value();
@@ -91,23 +91,23 @@
     BOOST_TEST(startNext() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(refusesWorkThatCannotMeetItsDeadline)
+BOOST_AUTO_TEST_CASE(refusesARequestThatCannotMeetItsDeadline)
 {
-    measureOne();
+    measureOneRequest();
     const auto refused = offer(1, 0, milliseconds(50));
     BOOST_TEST_REQUIRE(!refused.has_value());
     BOOST_TEST((refused.error().kind_ == qz::ErrorKind::DeadlineUnreachable));
 }
 
-BOOST_AUTO_TEST_CASE(expiredWorkIsDroppedAndNeverStarted)
+BOOST_AUTO_TEST_CASE(dropsExpiredRequestsWithoutStartingThem)
 {
-    measureOne();
+    measureOneRequest();
     offer(1, 0).value();
     offer(2, 0).value();
     startNext();
     startNext();
     offer(3, 0, milliseconds(400)).value();
-    clock_.advance(milliseconds(301)); // 99 ms are left of the 100 that it needs.
+    clock_.advance(milliseconds(301)); // Leaves 99 ms of the 100 ms that it needs.
     queue_.finish(1, clock_.now(), true);
     BOOST_TEST(startNext() == 0U);
     const auto dropped = queue_.takeDroppedRequests(clock_.now());
@@ -116,7 +116,7 @@
     BOOST_TEST((dropped[0].kind_ == qz::ErrorKind::DeadlineExpiredInQueue));
 }
 
-BOOST_AUTO_TEST_CASE(aMoreUrgentTicketDisplacesALessUrgentOne)
+BOOST_AUTO_TEST_CASE(aMoreUrgentRequestDisplacesALessUrgentOne)
 {
     for (std::uint64_t id = 1; id <= 4; ++id) {
         offer(id, 1).value();
@@ -130,7 +130,7 @@
     BOOST_TEST(startNext() == 6U);
 }
 
-BOOST_AUTO_TEST_CASE(cancelTakesOutQueuedWorkOnly)
+BOOST_AUTO_TEST_CASE(cancelRemovesOnlyQueuedRequests)
 {
     offer(1, 0).value();
     offer(2, 0).value();
--- a/packages/qz_admission/tests/baselinestest.cpp
+++ b/packages/qz_admission/tests/baselinestest.cpp
@@ -1,4 +1,4 @@
-// Tests of the baselines' order and of the estimates.
+// Tests of the baseline policies, ServiceTimes and WaitCorrection.
 #include "queuedriver.h"
 
 #include <boost/test/unit_test.hpp>
@@ -21,7 +21,7 @@
 
 BOOST_AUTO_TEST_SUITE(baselines)
 
-BOOST_AUTO_TEST_CASE(fifoServesInTheOrderOfOffersAndDisplacesNothing)
+BOOST_AUTO_TEST_CASE(fifoServesInOrderOfArrivalAndDisplacesNothing)
 {
     QueueDriver driver = makeDriver(FifoPolicy());
     driver.offer({ 1 }).value();
@@ -33,7 +33,7 @@
     BOOST_TEST(driver.runOne(milliseconds(10)).id_ == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(strictPriorityStarvesTheLessUrgentRank)
+BOOST_AUTO_TEST_CASE(strictPriorityStarvesALessUrgentRank)
 {
     QueueDriver driver = makeDriver(StrictPriorityPolicy());
     driver.offer({ 1 }).value();
@@ -44,7 +44,7 @@
     BOOST_TEST(driver.runOne(milliseconds(10)).id_ == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(strictPriorityDisplacesTheLastOfTheLeastUrgentRank)
+BOOST_AUTO_TEST_CASE(strictPriorityDisplacesTheNewestRequestOfTheLeastUrgentRank)
 {
     QueueDriver driver = makeDriver(StrictPriorityPolicy());
     driver.offer({ 1 }).value();
@@ -56,7 +56,7 @@
     BOOST_TEST(dropped[0].id_ == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(serviceTimesAreKeptByKind)
+BOOST_AUTO_TEST_CASE(serviceTimesAreEstimatedPerKind)
 {
     ServiceTimes times;
     BOOST_TEST(times.expected("a").count() == 0);
@@ -70,7 +70,7 @@
     BOOST_TEST((times.expected("unknown") < milliseconds(40)));
 }
 
-BOOST_AUTO_TEST_CASE(varyingServiceTimesAskForMoreCaution)
+BOOST_AUTO_TEST_CASE(varyingServiceTimesRaiseTheConservativeEstimate)
 {
     ServiceTimes times;
     for (int i = 0; i < 200; ++i) {
@@ -81,24 +81,24 @@
     BOOST_TEST((times.conservative("varying") > milliseconds(100)));
 }
 
-BOOST_AUTO_TEST_CASE(waitsAreCorrectedUpwardsWithinALimit)
+BOOST_AUTO_TEST_CASE(waitsAreCorrectedOnlyUpwardsAndWithinALimit)
 {
-    WaitCorrection longer;
-    WaitCorrection shorter;
-    WaitCorrection farOff;
-    BOOST_TEST((longer.corrected(milliseconds(100)) == milliseconds(100)));
+    WaitCorrection underestimated;
+    WaitCorrection overestimated;
+    WaitCorrection farUnderestimated;
+    BOOST_TEST((underestimated.corrected(milliseconds(100)) == milliseconds(100)));
     for (int i = 0; i < 200; ++i) {
-        longer.record(milliseconds(50), milliseconds(100));
-        shorter.record(milliseconds(50), milliseconds(10));
-        farOff.record(milliseconds(1), milliseconds(1000));
+        underestimated.record(milliseconds(50), milliseconds(100));
+        overestimated.record(milliseconds(50), milliseconds(10));
+        farUnderestimated.record(milliseconds(1), milliseconds(1000));
     }
-    BOOST_TEST((longer.corrected(milliseconds(100)) > milliseconds(199)));
-    BOOST_TEST((longer.corrected(milliseconds(100)) < milliseconds(201)));
-    BOOST_TEST((shorter.corrected(milliseconds(100)) == milliseconds(100)));
-    BOOST_TEST((farOff.corrected(milliseconds(100)) == milliseconds(400)));
+    BOOST_TEST((underestimated.corrected(milliseconds(100)) > milliseconds(199)));
+    BOOST_TEST((underestimated.corrected(milliseconds(100)) < milliseconds(201)));
+    BOOST_TEST((overestimated.corrected(milliseconds(100)) == milliseconds(100)));
+    BOOST_TEST((farUnderestimated.corrected(milliseconds(100)) == milliseconds(400)));
 }
 
-BOOST_AUTO_TEST_CASE(aBrokenRunIsNotMeasured)
+BOOST_AUTO_TEST_CASE(aFailedRequestIsNotMeasured)
 {
     QueueDriver driver = makeDriver(SharedRanksPolicy());
     driver.offer({ 0 }).value();
--- a/packages/qz_admission/tests/floods/floodsimulation.cpp
+++ b/packages/qz_admission/tests/floods/floodsimulation.cpp
@@ -1,4 +1,4 @@
-// One run of the flood measurement.
+// Discrete event simulation of a flood at several gates.
 #include "floodsimulation.h"
 
 #include <algorithm>
@@ -13,11 +13,11 @@
 constexpr std::size_t regionCount = 2;
 constexpr std::size_t maxQueued = 512;
 constexpr std::size_t maxTries = 2;
-constexpr std::uint64_t usualWorkspaces = 50;
+constexpr std::uint64_t baselineWorkspaces = 50;
 constexpr std::uint64_t floodingWorkspaces = 5;
-constexpr double serviceSigma = 0.5;                     // Of the logarithm of a service time.
-constexpr Duration settleTime = std::chrono::seconds(3); // The longest target.
-constexpr Duration gossipPeriod = std::chrono::milliseconds(500);
+constexpr double serviceTimeSigma = 0.5;                     // Standard deviation of the logarithm.
+constexpr Duration completionTime = std::chrono::seconds(3); // The longest target.
+constexpr Duration digestPeriod = std::chrono::milliseconds(500);
 
 RegionId regionOf(std::size_t index)
 {
@@ -38,10 +38,10 @@
 
 FloodSimulation::FloodSimulation(SimulationSettings settings, const MakePolicy &makePolicy)
     : settings_(std::move(settings))
-    , start_(now_ + settings_.warmUp_)
-    , end_(start_ + settings_.measured_)
-    , arrivals_(settings_.seed_)
-    , choices_(settings_.seed_ + 1)
+    , measureStart_(now_ + settings_.warmUp_)
+    , measureEnd_(measureStart_ + settings_.measuredTime_)
+    , arrivalRandom_(settings_.seed_)
+    , chooserRandom_(settings_.seed_ + 1)
 {
     for (std::size_t gate = 0; gate < gateCount; ++gate) {
         gates_.push_back(AdmissionQueue::Builder()
@@ -57,7 +57,7 @@
             ServerCandidate candidate;
             candidate.id_ = BackendServerId("server-" + std::to_string(gate));
             candidate.location_.region_ = regionOf(gate);
-            candidate.roundTrip_ = 2 * distance(index, gate);
+            candidate.roundTrip_ = 2 * networkDelay(index, gate);
             entry.candidates_.push_back(candidate);
         }
         entries_.push_back(std::move(entry));
@@ -72,56 +72,60 @@
     for (std::size_t kind = 0; kind < kinds_.size(); ++kind) {
         scheduleArrival(kind, false);
         if (kinds_[kind].rank_ == settings_.flood_.floodingRank_) {
-            schedule(start_, [this, kind] { scheduleArrival(kind, true); });
+            schedule(measureStart_, [this, kind] { scheduleArrival(kind, true); });
         }
     }
-    gossip();
-    while (!events_.empty() && events_.top().at_ < end_ + settleTime) {
+    distributeDigests();
+    while (!events_.empty() && events_.top().at_ < measureEnd_ + completionTime) {
         const Event event = events_.top();
         events_.pop();
         now_ = event.at_;
-        event.work_();
+        event.action_();
     }
-    figures_.slotTime_ = gateCount * settings_.deployment_.slots_ * settings_.measured_;
-    figures_.bound_ = worthBound(offered_, figures_.slotTime_);
-    figures_.boundWithShares_ = worthBoundWithShares(offered_, figures_.slotTime_, ranks_);
-    return figures_;
+    results_.slotTime_ = gateCount * settings_.deployment_.slots_ * settings_.measuredTime_;
+    results_.worthUpperBound_ = worthUpperBound(offered_, results_.slotTime_);
+    results_.worthUpperBoundWithShares_ =
+            worthUpperBoundWithShares(offered_, results_.slotTime_, ranks_);
+    return results_;
 }
 
-void FloodSimulation::schedule(TimePoint at, std::function<void()> work)
+void FloodSimulation::schedule(TimePoint at, std::function<void()> action)
 {
-    events_.push(Event{ at, nextOrder_++, std::move(work) });
+    events_.push(Event{ at, nextSequence_++, std::move(action) });
 }
 
 void FloodSimulation::scheduleArrival(std::size_t kind, bool isFlood)
 {
-    const WorkKind &work = kinds_[kind];
-    const double usual = usualLoad.at(work.rank_);
-    const double load = isFlood ? settings_.flood_.load_.at(work.rank_) - usual : usual;
+    const WorkKind &workKind = kinds_[kind];
+    const double baselineLoad = baselineLoads.at(workKind.rank_);
+    const double load =
+            isFlood ? settings_.flood_.load_.at(workKind.rank_) - baselineLoad : baselineLoad;
     const double slots = static_cast<double>(gateCount) * settings_.deployment_.slots_;
-    const double rate = load * work.partOfRank_ * slots / seconds(work.meanService_);
-    const double gap = std::exponential_distribution<double>(rate)(arrivals_);
+    const double rate = load * workKind.shareOfRank_ * slots / seconds(workKind.meanServiceTime_);
+    const double gap = std::exponential_distribution<double>(rate)(arrivalRandom_);
     schedule(now_ + fromSeconds(gap), [this, kind, isFlood] { arrive(kind, isFlood); });
 }
 
 void FloodSimulation::arrive(std::size_t kind, bool isFlood)
 {
-    const WorkKind &work = kinds_[kind];
-    std::lognormal_distribution<double> spread(-serviceSigma * serviceSigma / 2, serviceSigma);
+    const WorkKind &workKind = kinds_[kind];
+    std::lognormal_distribution<double> serviceTimeFactor(-serviceTimeSigma * serviceTimeSigma / 2,
+                                                          serviceTimeSigma);
     Request request;
     request.kind_ = kind;
-    request.entry_ = arrivals_() % entryCount;
-    request.workspace_ = isFlood ? usualWorkspaces + arrivals_() % floodingWorkspaces
-                                 : arrivals_() % usualWorkspaces;
+    request.entry_ = arrivalRandom_() % entryCount;
+    request.workspace_ = isFlood ? baselineWorkspaces + arrivalRandom_() % floodingWorkspaces
+                                 : arrivalRandom_() % baselineWorkspaces;
     request.arrivedAt_ = now_;
-    request.service_ = fromSeconds(seconds(work.meanService_) * spread(arrivals_));
+    request.serviceTime_ =
+            fromSeconds(seconds(workKind.meanServiceTime_) * serviceTimeFactor(arrivalRandom_));
     request.isMeasured_ = isInMeasuredTime(now_);
     if (request.isMeasured_) {
-        RankResults &rank = figures_.ranks_.at(work.rank_);
+        RankResults &rank = results_.ranks_.at(workKind.rank_);
         ++rank.offered_;
-        rank.offeredSlotTime_ += request.service_;
-        offered_[kind].slotTime_ += request.service_;
-        offered_[kind].worth_ += work.worth_;
+        rank.offeredSlotTime_ += request.serviceTime_;
+        offered_[kind].slotTime_ += request.serviceTime_;
+        offered_[kind].worth_ += workKind.worth_;
     }
     requests_.push_back(std::move(request));
     send(requests_.size() - 1);
@@ -135,72 +139,75 @@
     std::vector<ServerCandidate> candidates = entry.candidates_;
     for (std::size_t gate = 0; gate < gateCount; ++gate) {
         if (candidates[gate].digest_) {
-            candidates[gate].digest_->age_ = now_ - entry.digestsAt_[gate];
+            candidates[gate].digest_->age_ = now_ - entry.digestTimes_[gate];
         }
     }
     for (const std::size_t gate : request.tried_) {
         candidates[gate].weight_ = 0.0;
     }
     const WorkKind &kind = kinds_[request.kind_];
-    const Duration passed = now_ - request.arrivedAt_;
-    const ServerRequest wanted{ Location{ regionOf(request.entry_), FailureDomainId() }, kind.rank_,
-                                ranks_[kind.rank_].target_ - passed, kind.meanService_ };
-    const std::size_t gate = chooser_.choose(candidates, wanted, choices_).value();
+    const Duration elapsed = now_ - request.arrivedAt_;
+    const ServerRequest serverRequest{ Location{ regionOf(request.entry_), FailureDomainId() },
+                                       kind.rank_, ranks_[kind.rank_].target_ - elapsed,
+                                       kind.meanServiceTime_ };
+    const std::size_t gate = chooser_.choose(candidates, serverRequest, chooserRandom_).value();
     request.tried_.push_back(gate);
-    const bool isCross = regionOf(gate) != regionOf(request.entry_);
-    figures_.crossRegion_ += request.isMeasured_ && isCross ? 1 : 0;
-    schedule(now_ + distance(request.entry_, gate), [this, id, gate] { offer(id, gate); });
+    const bool isCrossRegion = regionOf(gate) != regionOf(request.entry_);
+    results_.crossRegion_ += request.isMeasured_ && isCrossRegion ? 1 : 0;
+    schedule(now_ + networkDelay(request.entry_, gate), [this, id, gate] { offer(id, gate); });
 }
 
 void FloodSimulation::offer(std::size_t id, std::size_t gate)
 {
     const Request &request = requests_[id];
     const WorkKind &kind = kinds_[request.kind_];
-    const TimePoint deadline = request.arrivedAt_ + kind.deadline_ - distance(request.entry_, gate);
-    AdmissionRequest ticket{
+    const TimePoint deadline =
+            request.arrivedAt_ + kind.deadline_ - networkDelay(request.entry_, gate);
+    AdmissionRequest admissionRequest{
         id,         kind.rank_,  WorkspaceId(std::to_string(request.workspace_)),
         kind.name_, kind.worth_, deadline
     };
-    const Result<void> taken = gates_[gate].offer(std::move(ticket), now_);
-    if (!taken) {
-        reply(id, gate, taken.error().kind_);
+    const Result<void> accepted = gates_[gate].offer(std::move(admissionRequest), now_);
+    if (!accepted) {
+        reply(id, gate, accepted.error().kind_);
     }
-    pump(gate);
+    startRequests(gate);
 }
 
-void FloodSimulation::pump(std::size_t gate)
+void FloodSimulation::startRequests(std::size_t gate)
 {
-    while (const auto ticket = gates_[gate].startNext(now_)) {
-        const std::size_t id = ticket->id_;
-        const TimePoint end = now_ + requests_[id].service_;
-        const bool isWhole = end <= ticket->deadline_; // Otherwise the server stops there.
-        schedule(std::min(end, ticket->deadline_),
-                 [this, id, gate, from = now_, isWhole] { finish(id, gate, from, isWhole); });
+    while (const auto admissionRequest = gates_[gate].startNext(now_)) {
+        const std::size_t id = admissionRequest->id_;
+        const TimePoint end = now_ + requests_[id].serviceTime_;
+        // The server stops a request at its deadline.
+        const bool isComplete = end <= admissionRequest->deadline_;
+        schedule(std::min(end, admissionRequest->deadline_),
+                 [this, id, gate, from = now_, isComplete] { finish(id, gate, from, isComplete); });
     }
     for (const DroppedRequest &dropped : gates_[gate].takeDroppedRequests(now_)) {
         reply(dropped.id_, gate, dropped.kind_);
     }
 }
 
-void FloodSimulation::finish(std::size_t id, std::size_t gate, TimePoint startedAt, bool isWhole)
+void FloodSimulation::finish(std::size_t id, std::size_t gate, TimePoint startedAt, bool isComplete)
 {
-    gates_[gate].finish(id, now_, isWhole);
-    measureService(requests_[id], startedAt, isWhole);
-    if (isWhole) {
+    gates_[gate].finish(id, now_, isComplete);
+    recordSlotTime(requests_[id], startedAt, isComplete);
+    if (isComplete) {
         reply(id, gate, std::nullopt);
     } else {
-        figures_.lateAnswers_ += requests_[id].isMeasured_ ? 1 : 0;
+        results_.lateAnswers_ += requests_[id].isMeasured_ ? 1 : 0;
     }
-    pump(gate);
+    startRequests(gate);
 }
 
-void FloodSimulation::measureService(const Request &request, TimePoint startedAt, bool isWhole)
+void FloodSimulation::recordSlotTime(const Request &request, TimePoint startedAt, bool isComplete)
 {
     const WorkKind &kind = kinds_[request.kind_];
-    const Duration used = std::min(now_, end_) - std::max(startedAt, start_);
-    figures_.ranks_.at(kind.rank_).usedSlotTime_ += std::max(Duration{}, used);
-    if (isWhole && isInMeasuredTime(now_)) {
-        figures_.worth_ += kind.worth_;
+    const Duration used = std::min(now_, measureEnd_) - std::max(startedAt, measureStart_);
+    results_.ranks_.at(kind.rank_).usedSlotTime_ += std::max(Duration{}, used);
+    if (isComplete && isInMeasuredTime(now_)) {
+        results_.worth_ += kind.worth_;
     }
 }
 
@@ -212,36 +219,36 @@
         const Request &request = requests_[id];
         Entry &entry = entries_[request.entry_];
         entry.candidates_[gate].digest_ = digest;
-        entry.digestsAt_[gate] = sentAt;
+        entry.digestTimes_[gate] = sentAt;
         if (error) {
             if (answerOf(*error).retryInFleet_ && request.tried_.size() < maxTries
-                && entry.retries_.tryAcquire(now_)) {
+                && entry.retryBudget_.tryAcquire(now_)) {
                 send(id);
             }
             return;
         }
-        entry.retries_.recordSuccess();
+        entry.retryBudget_.recordSuccess();
         if (!request.isMeasured_) {
             return;
         }
         const WorkKind &kind = kinds_[request.kind_];
-        RankResults &rank = figures_.ranks_.at(kind.rank_);
-        rank.inTarget_ += now_ - request.arrivedAt_ <= ranks_[kind.rank_].target_ ? 1 : 0;
+        RankResults &rank = results_.ranks_.at(kind.rank_);
+        rank.withinTarget_ += now_ - request.arrivedAt_ <= ranks_[kind.rank_].target_ ? 1 : 0;
     };
-    schedule(now_ + distance(entryIndex, gate), receive);
+    schedule(now_ + networkDelay(entryIndex, gate), receive);
 }
 
-void FloodSimulation::gossip()
+void FloodSimulation::distributeDigests()
 {
     for (std::size_t gate = 0; gate < gateCount; ++gate) {
-        pump(gate);
+        startRequests(gate);
         const QueueDigest digest = digestOf(gate);
         for (Entry &entry : entries_) {
             entry.candidates_[gate].digest_ = digest;
-            entry.digestsAt_[gate] = now_;
+            entry.digestTimes_[gate] = now_;
         }
     }
-    schedule(now_ + gossipPeriod, [this] { gossip(); });
+    schedule(now_ + digestPeriod, [this] { distributeDigests(); });
 }
 
 QueueDigest FloodSimulation::digestOf(std::size_t gate) const
@@ -254,10 +261,11 @@
     return digest;
 }
 
-Duration FloodSimulation::distance(std::size_t entry, std::size_t gate) const
+Duration FloodSimulation::networkDelay(std::size_t entry, std::size_t gate) const
 {
-    const bool isNear = regionOf(entry) == regionOf(gate);
-    return isNear ? settings_.deployment_.withinRegion_ : settings_.deployment_.betweenRegions_;
+    const bool isSameRegion = regionOf(entry) == regionOf(gate);
+    return isSameRegion ? settings_.deployment_.withinRegion_
+                        : settings_.deployment_.betweenRegions_;
 }
 
 } // namespace qz::floods
--- a/packages/qz_admission/tests/floods/qz_admission_floods.cpp
+++ b/packages/qz_admission/tests/floods/qz_admission_floods.cpp
@@ -1,5 +1,5 @@
-// Measures the admission policies under floods: both users' slots, three ranks, floods of the
-// least and of the most urgent rank, and the policies side by side on the same arrivals.
+// Measures the admission policies in simulated floods of the least and of the most urgent rank, for
+// both deployments and with the same arrivals for every policy.
 #include "floodsimulation.h"
 
 #include <docopt/docopt.h>
@@ -19,19 +19,19 @@
   qz_admission_floods --help
 
 Options:
-  --seeds=<n>      Runs with the seeds 1 to n [default: 1].
-  --seconds=<n>    Measured time of each run in seconds [default: 5].
-  --policy=<name>  Only fifo, strict-priority or shared-ranks.
-  --json           One JSON line for each figure instead of the table.
-  --strict         Exit with 1 if the chosen policy is short of a goal, except for the worth
-                   against the bound that ignores the shares while the urgent rank floods.
+  --seeds=<n>      Simulate each case with the seeds 1 to n [default: 1].
+  --seconds=<n>    Measured time of each simulation in seconds [default: 5].
+  --policy=<name>  Simulate only this policy: fifo, strict-priority or shared-ranks.
+  --json           Print one JSON line per figure instead of the table.
+  --strict         Exit with 1 if shared-ranks misses a goal. While the most urgent rank floods,
+                   the bound of worth that ignores the shares is not a goal.
 )";
 
-constexpr double urgentGoal = 99.0;    // Percent in target.
-constexpr double shareTolerance = 5.0; // Points.
-constexpr double worthGoal = 95.0;     // Percent of the bound.
+constexpr double minUrgentInTarget = 99.0; // Percent.
+constexpr double maxShareShortfall = 5.0;  // Percentage points.
+constexpr double minWorth = 95.0;          // Percent of the upper bound.
 
-struct Spread
+struct Distribution
 {
     std::vector<double> values_;
 
@@ -45,17 +45,17 @@
     double max() const { return values_.back(); }
 };
 
-/// The figures of one policy in one flood over all seeds; percent and points.
+/// The results of one policy in one flood over all seeds, in percent and percentage points.
 struct Summary
 {
-    Spread urgentInTarget_;
-    std::array<Spread, rankCount> got_;       ///< Slot time used.
-    std::array<Spread, rankCount> shortfall_; ///< Below the smaller of stated share and offer.
-    std::array<Spread, rankCount> inTarget_;
-    Spread worth_;
-    Spread worthWithShares_;
-    Spread crossRegion_;
-    Spread late_;
+    Distribution urgentInTarget_;
+    std::array<Distribution, rankCount> used_;      ///< Of all slot time.
+    std::array<Distribution, rankCount> shortfall_; ///< Below min(guaranteed share, offered load).
+    std::array<Distribution, rankCount> withinTarget_;
+    Distribution worth_;
+    Distribution worthWithShares_;
+    Distribution crossRegion_;
+    Distribution lateAnswers_;
 
     void add(const SimulationResults &run);
 };
@@ -76,19 +76,19 @@
     std::size_t offered = 0;
     for (std::size_t rank = 0; rank < rankCount; ++rank) {
         const RankResults &figures = run.ranks_.at(rank);
-        const double got = percent(figures.usedSlotTime_, run.slotTime_);
-        const double wanted = std::min(100.0 * shares[rank].share_,
-                                       percent(figures.offeredSlotTime_, run.slotTime_));
-        got_.at(rank).add(got);
-        shortfall_.at(rank).add(std::max(0.0, wanted - got));
-        inTarget_.at(rank).add(percent(static_cast<double>(figures.inTarget_),
-                                       static_cast<double>(figures.offered_)));
+        const double used = percent(figures.usedSlotTime_, run.slotTime_);
+        const double guaranteed = std::min(100.0 * shares[rank].share_,
+                                           percent(figures.offeredSlotTime_, run.slotTime_));
+        used_.at(rank).add(used);
+        shortfall_.at(rank).add(std::max(0.0, guaranteed - used));
+        withinTarget_.at(rank).add(percent(static_cast<double>(figures.withinTarget_),
+                                           static_cast<double>(figures.offered_)));
         offered += figures.offered_;
     }
-    worth_.add(percent(run.worth_, run.bound_));
-    worthWithShares_.add(percent(run.worth_, run.boundWithShares_));
+    worth_.add(percent(run.worth_, run.worthUpperBound_));
+    worthWithShares_.add(percent(run.worth_, run.worthUpperBoundWithShares_));
     crossRegion_.add(percent(static_cast<double>(run.crossRegion_), static_cast<double>(offered)));
-    late_.add(percent(static_cast<double>(run.lateAnswers_), static_cast<double>(offered)));
+    lateAnswers_.add(percent(static_cast<double>(run.lateAnswers_), static_cast<double>(offered)));
 }
 
 struct Goals
@@ -96,49 +96,53 @@
     bool areMet_ = true;
     bool isJson_ = false;
 
-    void print(const std::string &place, const char *name, const Spread &spread, const char *goal,
-               bool isMet)
+    void print(const std::string &caseName, const char *name, const Distribution &distribution,
+               const char *goal, bool isMet)
     {
         areMet_ = areMet_ && isMet;
         const char *verdict = goal[0] == '\0' ? "" : isMet ? "met" : "short";
         if (isJson_) {
             std::printf("{\"case\":\"%s\",\"figure\":\"%s\",\"min\":%.2f,\"median\":%.2f,"
                         "\"max\":%.2f,\"goal\":\"%s\",\"verdict\":\"%s\"}\n",
-                        place.c_str(), name, spread.min(), spread.median(), spread.max(), goal,
-                        verdict);
+                        caseName.c_str(), name, distribution.min(), distribution.median(),
+                        distribution.max(), goal, verdict);
         } else {
-            std::printf("%-40s %-26s %7.2f %7.2f %7.2f  %-8s %s\n", place.c_str(), name,
-                        spread.min(), spread.median(), spread.max(), goal, verdict);
+            std::printf("%-40s %-26s %7.2f %7.2f %7.2f  %-8s %s\n", caseName.c_str(), name,
+                        distribution.min(), distribution.median(), distribution.max(), goal,
+                        verdict);
         }
     }
 };
 
-void report(const std::string &place, const FloodCase &flood, const Summary &summary, Goals &goals)
+void report(const std::string &caseName, const FloodCase &flood, const Summary &summary,
+            Goals &goals)
 {
-    const bool isLeastFlood = flood.floodingRank_ != 0;
-    goals.print(place, "urgent in target %", summary.inTarget_[0], isLeastFlood ? ">= 99" : "",
-                !isLeastFlood || summary.inTarget_[0].min() >= urgentGoal);
+    const bool isLeastUrgentFlood = flood.floodingRank_ != 0;
+    goals.print(caseName, "urgent in target %", summary.withinTarget_[0],
+                isLeastUrgentFlood ? ">= 99" : "",
+                !isLeastUrgentFlood || summary.withinTarget_[0].min() >= minUrgentInTarget);
     for (std::size_t rank = 0; rank < rankCount; ++rank) {
         const std::string name = "rank " + std::to_string(rank);
-        goals.print(place, (name + " slot time %").c_str(), summary.got_.at(rank), "", true);
+        goals.print(caseName, (name + " slot time %").c_str(), summary.used_.at(rank), "", true);
         if (rank != flood.floodingRank_) {
-            goals.print(place, (name + " below share, points").c_str(), summary.shortfall_.at(rank),
-                        "<= 5", summary.shortfall_.at(rank).max() <= shareTolerance);
+            goals.print(caseName, (name + " below share, points").c_str(),
+                        summary.shortfall_.at(rank), "<= 5",
+                        summary.shortfall_.at(rank).max() <= maxShareShortfall);
         }
         if (rank != 0) {
-            goals.print(place, (name + " in target %").c_str(), summary.inTarget_.at(rank), "",
-                        true);
+            goals.print(caseName, (name + " in target %").c_str(), summary.withinTarget_.at(rank),
+                        "", true);
         }
     }
-    // While the urgent rank floods this bound and the kept shares exclude each other.
-    const bool wereMet = goals.areMet_;
-    goals.print(place, "worth, % of bound", summary.worth_, ">= 95",
-                summary.worth_.min() >= worthGoal);
-    goals.areMet_ = isLeastFlood ? goals.areMet_ : wereMet;
-    goals.print(place, "worth, % of bound w. shares", summary.worthWithShares_, ">= 95",
-                summary.worthWithShares_.min() >= worthGoal);
-    goals.print(place, "cross-region %", summary.crossRegion_, "", true);
-    goals.print(place, "started and late %", summary.late_, "", true);
+    // While the most urgent rank floods, no policy can reach this bound and guarantee the shares.
+    const bool wereMetBefore = goals.areMet_;
+    goals.print(caseName, "worth, % of bound", summary.worth_, ">= 95",
+                summary.worth_.min() >= minWorth);
+    goals.areMet_ = isLeastUrgentFlood ? goals.areMet_ : wereMetBefore;
+    goals.print(caseName, "worth, % of bound w. shares", summary.worthWithShares_, ">= 95",
+                summary.worthWithShares_.min() >= minWorth);
+    goals.print(caseName, "cross-region %", summary.crossRegion_, "", true);
+    goals.print(caseName, "started and late %", summary.lateAnswers_, "", true);
 }
 
 const std::vector<FloodSimulation::MakePolicy> policies{
@@ -153,11 +157,11 @@
 {
     auto arguments = docopt::docopt(usage, { argv + 1, argv + argc });
     const auto seeds = static_cast<std::uint64_t>(arguments["--seeds"].asLong());
-    const std::chrono::seconds measured(arguments["--seconds"].asLong());
+    const std::chrono::seconds measuredTime(arguments["--seconds"].asLong());
     const docopt::value onlyPolicy = arguments["--policy"];
-    Goals baselines;
-    Goals chosen;
-    baselines.isJson_ = chosen.isJson_ = arguments["--json"].asBool();
+    Goals baselineGoals;
+    Goals sharedRanksGoals;
+    baselineGoals.isJson_ = sharedRanksGoals.isJson_ = arguments["--json"].asBool();
     for (const Deployment &deployment : makeDeployments()) {
         for (const FloodCase &flood : makeFloodCases()) {
             for (const auto &makePolicy : policies) {
@@ -167,16 +171,16 @@
                 }
                 Summary summary;
                 SimulationSettings settings{ deployment, flood };
-                settings.measured_ = measured;
+                settings.measuredTime_ = measuredTime;
                 for (settings.seed_ = 1; settings.seed_ <= seeds; ++settings.seed_) {
                     summary.add(FloodSimulation(settings, makePolicy).run());
                 }
-                const bool isChosen = &makePolicy == &policies.back();
+                const bool isSharedRanks = &makePolicy == &policies.back();
                 report(deployment.name_ + ", " + flood.name_ + ", " + policy, flood, summary,
-                       isChosen ? chosen : baselines);
+                       isSharedRanks ? sharedRanksGoals : baselineGoals);
             }
         }
     }
     const bool isStrict = arguments["--strict"].asBool();
-    return isStrict && !chosen.areMet_ ? 1 : 0;
+    return isStrict && !sharedRanksGoals.areMet_ ? 1 : 0;
 }
--- a/packages/qz_admission/tests/floods/workload.h
+++ b/packages/qz_admission/tests/floods/workload.h
@@ -1,4 +1,4 @@
-// The work, the ranks and the deployments of the flood measurement.
+// The kinds of work, ranks, deployments and load cases of the flood simulation.
 #pragma once
 
 #include "qz_admission/queue/admissionrequest.h"
@@ -11,27 +11,27 @@
 
 constexpr std::size_t rankCount = 3;
 
-/// One kind of work: log-normal service times around a mean.
+/// One kind of request, with log-normally distributed service times.
 struct WorkKind
 {
     std::string name_;
     std::size_t rank_ = 0;
-    Duration meanService_{};
+    Duration meanServiceTime_{};
     double worth_ = 1.0;
-    double partOfRank_ = 1.0; ///< Of its rank's slot time.
+    double shareOfRank_ = 1.0; ///< Share of its rank's slot time.
     Duration deadline_{};
 };
 
-/// The servers of one user.
+/// The backend servers and network delays of one deployment.
 struct Deployment
 {
     std::string name_;
-    int slots_ = 1; ///< Of each backend server.
+    int slots_ = 1; ///< Per backend server.
     Duration withinRegion_{};
     Duration betweenRegions_{};
 };
 
-/// Offered slot time of each rank, as a share of what all servers can do.
+/// Offered slot time of each rank, as a fraction of the capacity of all servers.
 using OfferedLoad = std::array<double, rankCount>;
 
 struct FloodCase
@@ -41,7 +41,7 @@
     OfferedLoad load_{};
 };
 
-constexpr OfferedLoad usualLoad{ 0.30, 0.25, 0.20 };
+constexpr OfferedLoad baselineLoads{ 0.30, 0.25, 0.20 };
 
 inline std::vector<RankShare> makeRanks()
 {
@@ -69,14 +69,15 @@
              { "red-andina", 4, microseconds(1500), microseconds(12000) } };
 }
 
-/// The usual load, then floods of the least urgent and of the most urgent rank.
+/// Returns floods of 2, 5 and 10 times the total capacity, first of the least urgent rank and then
+/// of the most urgent rank. The other ranks have the baseline load.
 inline std::vector<FloodCase> makeFloodCases()
 {
     std::vector<FloodCase> cases;
     for (const std::size_t rank : { rankCount - 1, std::size_t{ 0 } }) {
         for (const int factor : { 2, 5, 10 }) {
             FloodCase flood{ (rank == 0 ? "urgent " : "least ") + std::to_string(factor) + "x",
-                             rank, usualLoad };
+                             rank, baselineLoads };
             flood.load_.at(rank) = factor;
             cases.push_back(flood);
         }
--- a/packages/qz_admission/tests/floods/worthbound.cpp
+++ b/packages/qz_admission/tests/floods/worthbound.cpp
@@ -1,4 +1,4 @@
-// Fractional knapsacks.
+// Solves fractional knapsack problems for the upper bounds of worth.
 #include "worthbound.h"
 
 #include <algorithm>
@@ -7,58 +7,59 @@
 
 namespace {
 
-double density(const OfferedWork &work)
+double worthPerSlotTime(const OfferedWork &work)
 {
     return work.worth_ / std::max(1.0, static_cast<double>(work.slotTime_.count()));
 }
 
-/// Takes up to @p slotTime of @p work out of it; returns the worth taken.
-double take(OfferedWork &work, Duration &slotTime)
+/// Moves up to @p slotTime out of @p work, reduces both by that time and returns its worth.
+double takeWork(OfferedWork &work, Duration &slotTime)
 {
     const Duration taken = std::min(work.slotTime_, slotTime);
-    const double worth = density(work) * static_cast<double>(taken.count());
+    const double worth = worthPerSlotTime(work) * static_cast<double>(taken.count());
     work.slotTime_ -= taken;
     work.worth_ -= worth;
     slotTime -= taken;
     return worth;
 }
 
-void sortByDensity(std::vector<OfferedWork> &offered)
+void sortByWorthPerSlotTime(std::vector<OfferedWork> &offered)
 {
-    std::sort(offered.begin(), offered.end(),
-              [](const OfferedWork &a, const OfferedWork &b) { return density(a) > density(b); });
+    std::sort(offered.begin(), offered.end(), [](const OfferedWork &a, const OfferedWork &b) {
+        return worthPerSlotTime(a) > worthPerSlotTime(b);
+    });
 }
 
 } // namespace
 
-double worthBound(std::vector<OfferedWork> offered, Duration slotTime)
+double worthUpperBound(std::vector<OfferedWork> offered, Duration slotTime)
 {
-    sortByDensity(offered);
+    sortByWorthPerSlotTime(offered);
     double worth = 0.0;
     for (OfferedWork &work : offered) {
-        worth += take(work, slotTime);
+        worth += takeWork(work, slotTime);
     }
     return worth;
 }
 
-double worthBoundWithShares(std::vector<OfferedWork> offered, Duration slotTime,
-                            const std::vector<RankShare> &ranks)
+double worthUpperBoundWithShares(std::vector<OfferedWork> offered, Duration slotTime,
+                                 const std::vector<RankShare> &ranks)
 {
-    sortByDensity(offered);
+    sortByWorthPerSlotTime(offered);
     double worth = 0.0;
-    Duration free = slotTime;
+    Duration unreserved = slotTime;
     for (std::size_t rank = 0; rank < ranks.size(); ++rank) {
         const double share = static_cast<double>(slotTime.count()) * ranks[rank].share_;
-        Duration kept(static_cast<Duration::rep>(share));
-        free -= kept;
+        Duration reserved(static_cast<Duration::rep>(share));
+        unreserved -= reserved;
         for (OfferedWork &work : offered) {
             if (work.rank_ == rank) {
-                worth += take(work, kept);
+                worth += takeWork(work, reserved);
             }
         }
-        free += kept;
+        unreserved += reserved;
     }
-    return worth + worthBound(std::move(offered), free);
+    return worth + worthUpperBound(std::move(offered), unreserved);
 }
 
 } // namespace qz::floods
--- a/packages/qz_admission/tests/floods/worthbound.h
+++ b/packages/qz_admission/tests/floods/worthbound.h
@@ -1,4 +1,4 @@
-// The most worth that any order of service could earn from the offered work.
+// Upper bounds of the worth that any order of service can earn from the offered work.
 #pragma once
 
 #include "workload.h"
@@ -15,12 +15,14 @@
     double worth_ = 0.0;  ///< Of all its requests.
 };
 
-/// A fractional knapsack over @p slotTime by worth per slot time of the kinds. No order that
-/// doesn't know a request's service time beforehand earns more on average.
-double worthBound(std::vector<OfferedWork> offered, Duration slotTime);
+/// Returns the worth of the best use of @p slotTime: a fractional knapsack that fills it in order
+/// of worth per slot time of the kinds. No order that does not know the service times of requests
+/// in advance earns more on average.
+double worthUpperBound(std::vector<OfferedWork> offered, Duration slotTime);
 
-/// The same after each rank was given its stated share, as far as it offers so much.
-double worthBoundWithShares(std::vector<OfferedWork> offered, Duration slotTime,
-                            const std::vector<RankShare> &ranks);
+/// Like worthUpperBound(), but first gives each rank its guaranteed share, up to the work that it
+/// offers.
+double worthUpperBoundWithShares(std::vector<OfferedWork> offered, Duration slotTime,
+                                 const std::vector<RankShare> &ranks);
 
 } // namespace qz::floods
--- a/packages/qz_admission/tests/queuedriver.h
+++ b/packages/qz_admission/tests/queuedriver.h
@@ -1,4 +1,4 @@
-// Drives an admission queue in manual time, for tests.
+// Test helper that drives an admission queue with a manual clock.
 #pragma once
 
 #include "qz_admission/qz_admission.h"
@@ -10,7 +10,7 @@
 
 namespace qz {
 
-/// What a test states about one offer; the rest has usual values.
+/// The values of one offer that tests vary.
 struct TestOffer
 {
     std::size_t rank_ = 0;
@@ -21,7 +21,7 @@
     Duration deadline_ = std::chrono::hours(1);
 };
 
-/// A queue with a clock and the requests that run from it, each for the same time.
+/// Offers requests to a queue and runs them one at a time on a manual clock.
 class QueueDriver
 {
 public:
@@ -32,30 +32,31 @@
 
     Result<void> offer(const TestOffer &offer)
     {
-        AdmissionRequest ticket;
-        ticket.id_ = ++lastId_;
-        ticket.rank_ = offer.rank_;
-        ticket.workspace_ = WorkspaceId(offer.workspace_);
-        ticket.kind_ = offer.kind_;
-        ticket.worth_ = offer.worth_;
-        ticket.weight_ = offer.weight_;
-        ticket.deadline_ = clock_.now() + offer.deadline_;
-        return queue_.offer(std::move(ticket), clock_.now());
+        AdmissionRequest request;
+        request.id_ = ++lastId_;
+        request.rank_ = offer.rank_;
+        request.workspace_ = WorkspaceId(offer.workspace_);
+        request.kind_ = offer.kind_;
+        request.worth_ = offer.worth_;
+        request.weight_ = offer.weight_;
+        request.deadline_ = clock_.now() + offer.deadline_;
+        return queue_.offer(std::move(request), clock_.now());
     }
 
-    /// Lets one request run for @p service; returns its ticket, or one of id 0 if none waits.
-    AdmissionRequest runOne(Duration service)
+    /// Starts the next request, advances the clock by @p serviceTime and finishes the request.
+    /// Returns it, or a request with id 0 if none was queued.
+    AdmissionRequest runOne(Duration serviceTime)
     {
-        const auto ticket = queue_.startNext(clock_.now());
-        clock_.advance(service);
-        if (!ticket) {
+        const auto request = queue_.startNext(clock_.now());
+        clock_.advance(serviceTime);
+        if (!request) {
             return {};
         }
-        queue_.finish(ticket->id_, clock_.now(), true);
-        return *ticket;
+        queue_.finish(request->id_, clock_.now(), true);
+        return *request;
     }
 
-    /// The id of the last offer.
+    /// Returns the id of the last offer.
     std::uint64_t lastId() const { return lastId_; }
 
     ManualClock clock_;
