--- a/packages/qz_gates/directory/backenddirectory.cpp
+++ b/packages/qz_gates/directory/backenddirectory.cpp
@@ -1,4 +1,4 @@
-// The directory of backend servers.
+// The backend servers of the platform's list, with the labels of the operators' rules.
 #include "qz_gates/directory/backenddirectory.h"
 
 #include "qz_core/faults/faultpoint.h"
@@ -29,9 +29,9 @@
 
 const BackendDirectory::Servers &BackendDirectory::serversFor(const WorkKind &kind) const
 {
-    static const Servers none;
+    static const Servers noServers;
     const auto found = byKind_.find(kind.name_);
-    return found == byKind_.end() ? none : found->second;
+    return found == byKind_.end() ? noServers : found->second;
 }
 
 BackendDirectory::ServerPtr BackendDirectory::find(const BackendServerId &id) const
--- a/packages/qz_gates/directory/backenddirectory.h
+++ b/packages/qz_gates/directory/backenddirectory.h
@@ -1,4 +1,4 @@
-// The backend servers as the platform lists them and the operators label them.
+// The backend servers of the platform's list, with the labels of the operators' rules.
 #pragma once
 
 #include "qz_platform/instances/instancelist.h"
@@ -11,19 +11,20 @@
 
 namespace qz {
 
-/// One backend server with the labels in force.
+/// One backend server with its effective labels.
 struct BackendServer
 {
     ListedBackendServer listed_;
-    Labels labels_; ///< The operators' before the platform's.
+    Labels labels_; ///< Labels of the rules override those of the platform's list.
     ServiceId service_;
 
-    /// Whether the platform's list or an operator's label says that it gets no new work.
+    /// Returns whether the server gets no new work: the platform lists it as leaving, or its
+    /// "drain" label is "true".
     bool isLeaving() const;
 };
 
-/// Answers which backend servers may serve a kind of work. Both its inputs are replaced
-/// whole: the rules when a version is adopted, the listing when one was fetched.
+/// Finds the backend servers that may serve a kind of work. The rules and the platform's list are
+/// only replaced as a whole: the rules when a version is adopted, the list when it was fetched.
 class BackendDirectory
 {
 public:
@@ -33,14 +34,14 @@
     void setRules(std::shared_ptr<const RuleSet> rules);
     void setListing(std::vector<ListedBackendServer> listing);
 
-    /// The servers that match the selector that a kind of this name has in the rules in force,
-    /// leaving ones included; none if there is no such kind any more.
+    /// Returns the servers, including leaving ones, that match the selector of the kind with this
+    /// name in the current rules. Returns none if the current rules have no such kind.
     const Servers &serversFor(const WorkKind &kind) const;
 
-    /// The server with this id; nullptr if there is none.
+    /// Returns the server with this id, or nullptr if there is none.
     ServerPtr find(const BackendServerId &id) const;
 
-    /// All servers, ordered by id.
+    /// Returns all servers, ordered by id.
     const std::map<BackendServerId, ServerPtr> &all() const { return servers_; }
 
 private:
@@ -49,7 +50,7 @@
     std::shared_ptr<const RuleSet> rules_;
     std::vector<ListedBackendServer> listing_;
     std::map<BackendServerId, ServerPtr> servers_;
-    std::map<std::string, Servers> byKind_; ///< One entry for each kind of rules_.
+    std::map<std::string, Servers> byKind_; ///< One entry per kind of rules_.
 };
 
 } // namespace qz
--- a/packages/qz_gates/directory/gatemap.cpp
+++ b/packages/qz_gates/directory/gatemap.cpp
@@ -1,4 +1,4 @@
-// Which instance is the gate of which backend server.
+// Determines which instances may be the gate of a backend server.
 #include "qz_gates/directory/gatemap.h"
 
 #include "qz_core/hashing/rendezvous.h"
@@ -20,29 +20,30 @@
 
 const std::vector<InstanceId> &GateMap::gatesOf(const ListedBackendServer &server) const
 {
-    const auto known = orders_.find(server.id_);
-    if (known != orders_.end()) {
-        return known->second;
+    const auto found = orders_.find(server.id_);
+    if (found != orders_.end()) {
+        return found->second;
     }
     std::vector<InstanceId> &order = orders_[server.id_];
-    const auto append = [&](std::vector<std::string> names) {
-        for (std::string &name : rendezvousOrder(server.id_.value(), std::move(names))) {
-            order.emplace_back(std::move(name));
+    const auto append = [&](std::vector<std::string> instanceIds) {
+        for (std::string &instanceId :
+             rendezvousOrder(server.id_.value(), std::move(instanceIds))) {
+            order.emplace_back(std::move(instanceId));
         }
     };
-    const FailureDomainId &own = server.location_.failureDomain_;
-    const auto near = liveByDomain_.find(own);
-    if (near != liveByDomain_.end()) {
-        append(near->second);
+    const FailureDomainId &ownDomain = server.location_.failureDomain_;
+    const auto ownDomainInstances = liveByDomain_.find(ownDomain);
+    if (ownDomainInstances != liveByDomain_.end()) {
+        append(ownDomainInstances->second);
     }
     if (order.size() < minCandidates) {
-        std::vector<std::string> others;
-        for (const auto &[domain, names] : liveByDomain_) {
-            if (domain != own) {
-                others.insert(others.end(), names.begin(), names.end());
+        std::vector<std::string> otherInstances;
+        for (const auto &[domain, instanceIds] : liveByDomain_) {
+            if (domain != ownDomain) {
+                otherInstances.insert(otherInstances.end(), instanceIds.begin(), instanceIds.end());
             }
         }
-        append(std::move(others));
+        append(std::move(otherInstances));
     }
     return order;
 }
--- a/packages/qz_gates/directory/gatemap.h
+++ b/packages/qz_gates/directory/gatemap.h
@@ -1,4 +1,4 @@
-// Which instance is the gate of which backend server.
+// Determines which instances may be the gate of a backend server.
 #pragma once
 
 #include "qz_fleet/membership/member.h"
@@ -11,23 +11,28 @@
 
 namespace qz {
 
-/// Orders the instances that may be the gate of a server: the live ones of its own failure
-/// domain in the rendezvous order for the server and, where those are few, the others after
-/// them. An order is worked out when it is first asked for, over one failure domain only, so
-/// that the cost of a change of members does not grow with fleet and servers together.
+/// Orders the instances that may be the gate of a server: the live instances of its failure domain
+/// in the order of rendezvous hashing. If these are few, the live instances of the other failure
+/// domains follow, in the same order.
+///
+/// An order is computed on first use and usually covers one failure domain only. So the cost of a
+/// membership change does not grow with the number of instances times the number of servers.
 class GateMap
 {
 public:
-    /// Takes all members; leaving ones are no gates.
+    /// Replaces the members. Only live members can be gates.
     void setMembers(const std::vector<Member> &members);
 
-    /// The gates of @p server, first choice first; empty only if no instance is live.
+    /// Returns the possible gates of @p server, best first. Empty only if no instance is live.
     const std::vector<InstanceId> &gatesOf(const ListedBackendServer &server) const;
 
 private:
+    /// With fewer candidates in the failure domain, instances of other domains are added.
     static constexpr std::size_t minCandidates = 3;
 
     std::map<FailureDomainId, std::vector<std::string>> liveByDomain_;
+
+    /// Computed on first use.
     mutable std::unordered_map<BackendServerId, std::vector<InstanceId>> orders_;
 };
 
--- a/packages/qz_gates/gate/backendresponse.cpp
+++ b/packages/qz_gates/gate/backendresponse.cpp
@@ -1,4 +1,4 @@
-// How a backend server's answer or failure is understood.
+// Classifies responses and failures of backend servers.
 #include "qz_gates/gate/backendresponse.h"
 
 namespace qz {
@@ -17,9 +17,9 @@
         return result;
     }
     const HttpResponse &response = result.value();
-    const bool asksToRetry = response.headers_.find("Retry-After").has_value();
+    const bool hasRetryAfter = response.headers_.find("Retry-After").has_value();
     if (response.status_ == tooManyRequests
-        || (response.status_ == serviceUnavailable && asksToRetry)) {
+        || (response.status_ == serviceUnavailable && hasRetryAfter)) {
         return failure(ErrorKind::BackendShed, "the backend server shed the request");
     }
     return result;
--- a/packages/qz_gates/gate/backendresponse.h
+++ b/packages/qz_gates/gate/backendresponse.h
@@ -1,4 +1,4 @@
-// How a backend server's answer or failure is understood.
+// Classifies responses and failures of backend servers.
 #pragma once
 
 #include "qz_core/errors/error.h"
@@ -7,14 +7,15 @@
 
 namespace qz {
 
-/// Turns an answer by which the server says that it did not take the request into
-/// BackendShed: status 429, or 503 with Retry-After. Any other answer stays as it is.
+/// Maps a response by which the server states that it did not run the request, status 429 or
+/// status 503 with Retry-After, to the error BackendShed. Returns any other result unchanged.
 Result<HttpResponse> mapShedResponse(Result<HttpResponse> result);
 
-/// Whether the server says on this answer that it takes no new work: X-Backend-State: draining.
+/// Returns whether the response announces that the server accepts no new work: it has the header
+/// "X-Backend-State: draining".
 bool announcesDrain(const HttpResponse &response);
 
-/// What the result of a request says of its backend server.
+/// Returns the result to record as evidence of the backend server's health.
 ObservedResult toObservedResult(const Result<HttpResponse> &result);
 
 } // namespace qz
--- a/packages/qz_gates/gate/gate.cpp
+++ b/packages/qz_gates/gate/gate.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr std::size_t queueLimit = 512; ///< Requests.
-constexpr std::size_t answerLimitBytes = 1024UL * 1024;
+constexpr std::size_t maxQueuedRequests = 512;
+constexpr std::size_t maxAnswerBytes = 1024UL * 1024;
 
 HttpClientLimits makeClientLimits(const BackendServer &server)
 {
     HttpClientLimits limits;
     limits.connections_ = static_cast<std::size_t>(server.listed_.slots_);
-    limits.answerBytes_ = answerLimitBytes;
+    limits.answerBytes_ = maxAnswerBytes;
     return limits;
 }
 
@@ -25,21 +25,22 @@
     AdmissionQueue::Builder builder;
     builder.setSlots(server.listed_.slots_);
     builder.setRanks(std::move(ranks));
-    builder.setMaxQueued(queueLimit);
+    builder.setMaxQueued(maxQueuedRequests);
     return builder.build();
 }
 
-AdmissionRequest makeTicket(std::uint64_t id, const ExecuteRequest &request, TimePoint deadline)
+AdmissionRequest makeAdmissionRequest(std::uint64_t id, const ExecuteRequest &request,
+                                      TimePoint deadline)
 {
-    AdmissionRequest ticket;
-    ticket.id_ = id;
-    ticket.rank_ = request.rank_;
-    ticket.workspace_ = request.workspace_;
-    ticket.kind_ = request.kind_;
-    ticket.worth_ = request.worth_;
-    ticket.deadline_ = deadline;
-    ticket.weight_ = request.weight_;
-    return ticket;
+    AdmissionRequest admissionRequest;
+    admissionRequest.id_ = id;
+    admissionRequest.rank_ = request.rank_;
+    admissionRequest.workspace_ = request.workspace_;
+    admissionRequest.kind_ = request.kind_;
+    admissionRequest.worth_ = request.worth_;
+    admissionRequest.deadline_ = deadline;
+    admissionRequest.weight_ = request.weight_;
+    return admissionRequest;
 }
 
 } // namespace
@@ -55,19 +56,20 @@
 
 void Gate::execute(ExecuteRequest request, Done done)
 {
-    if (closedFor_) {
-        done(makeErrorAnswer(request.requestId_, server_, { *closedFor_, "the gate is closed" }));
+    if (closeReason_) {
+        done(makeErrorAnswer(request.requestId_, server_, { *closeReason_, "the gate is closed" }));
         return;
     }
-    if (ids_.count(request.requestId_) > 0) {
-        const Error error{ ErrorKind::Internal, "a try of this id is under way" };
+    if (idsByRequestId_.count(request.requestId_) > 0) {
+        const Error error{ ErrorKind::Internal,
+                           "a request with this id is already queued or running" };
         done(makeErrorAnswer(request.requestId_, server_, error));
         return;
     }
     const std::uint64_t id = ++lastId_;
     const TimePoint deadline = loop_.now() + request.timeLeft_;
-    const auto offered = queue_.offer(makeTicket(id, request, deadline), loop_.now());
-    ids_[request.requestId_] = id;
+    const auto offered = queue_.offer(makeAdmissionRequest(id, request, deadline), loop_.now());
+    idsByRequestId_[request.requestId_] = id;
     Pending pending;
     pending.request_ = std::move(request);
     pending.done_ = std::move(done);
@@ -82,39 +84,40 @@
 
 void Gate::cancel(const RequestId &requestId)
 {
-    const auto found = ids_.find(requestId);
-    if (found == ids_.end()) {
+    const auto found = idsByRequestId_.find(requestId);
+    if (found == idsByRequestId_.end()) {
         return;
     }
     const std::uint64_t id = found->second;
     Pending &pending = requests_.at(id);
     if (queue_.cancel(id)) {
-        fail(id, ErrorKind::CallerGone, "cancelled while queued");
+        fail(id, ErrorKind::CallerGone, "the caller disconnected while the request was queued");
         return;
     }
     if (!pending.connection_ || !pending.request_.repeatable_) {
         return;
     }
     connections_.cancel(*pending.connection_);
-    evidence_.discard(pending.flight_);
+    evidence_.discard(pending.inFlightId_);
     queue_.finish(id, loop_.now(), false);
-    fail(id, ErrorKind::CallerGone, "cancelled while running");
-    startWaiting();
+    fail(id, ErrorKind::CallerGone, "the caller disconnected while the request was running");
+    startQueuedRequests();
 }
 
 void Gate::tick()
 {
     for (const DroppedRequest &dropped : queue_.takeDroppedRequests(loop_.now())) {
-        fail(dropped.id_, dropped.kind_, "left the queue without a slot");
+        fail(dropped.id_, dropped.kind_,
+             "the request was removed from the queue before a slot was free");
     }
-    verdict_ = detector_.evaluate(evidence_.digest(loop_.now()), others_);
+    verdict_ = detector_.evaluate(evidence_.digest(loop_.now()), otherServers_);
     weight_.update(verdict_, loop_.now());
-    startWaiting();
+    startQueuedRequests();
 }
 
 void Gate::close(ErrorKind kind)
 {
-    closedFor_ = kind;
+    closeReason_ = kind;
     std::vector<std::uint64_t> queued;
     for (const auto &[id, pending] : requests_) {
         if (!pending.connection_ && queue_.cancel(id)) {
@@ -122,7 +125,7 @@
         }
     }
     for (const std::uint64_t id : queued) {
-        fail(id, kind, "the gate was closed");
+        fail(id, kind, "the gate was closed while the request was queued");
     }
 }
 
@@ -132,37 +135,37 @@
     queue_.setRanks(std::move(ranks));
 }
 
-void Gate::setPeers(ServiceBaseline baseline, std::vector<EvidenceDigest> others)
+void Gate::setPeers(ServiceBaseline baseline, std::vector<EvidenceDigest> otherServers)
 {
     evidence_.setBaseline(std::move(baseline));
-    others_ = std::move(others);
+    otherServers_ = std::move(otherServers);
 }
 
-void Gate::startWaiting()
+void Gate::startQueuedRequests()
 {
-    while (const auto ticket = queue_.startNext(loop_.now())) {
-        start(ticket->id_);
+    while (const auto request = queue_.startNext(loop_.now())) {
+        start(request->id_);
     }
 }
 
 void Gate::start(std::uint64_t id)
 {
     Pending &pending = requests_.at(id);
-    const Duration left = pending.deadline_ - loop_.now();
-    if (left <= Duration::zero()) {
+    const Duration timeLeft = pending.deadline_ - loop_.now();
+    if (timeLeft <= Duration::zero()) {
         queue_.finish(id, loop_.now(), false);
-        fail(id, ErrorKind::DeadlineExpiredInQueue, "time was up before a slot was free");
+        fail(id, ErrorKind::DeadlineExpiredInQueue, "the deadline expired before a slot was free");
         return;
     }
     pending.startedAt_ = loop_.now();
-    pending.flight_ = evidence_.begin(pending.request_.kind_, loop_.now());
-    pending.connection_ = 0; // Running, also while send() fails at once.
+    pending.inFlightId_ = evidence_.begin(pending.request_.kind_, loop_.now());
+    pending.connection_ = 0; // Marks the request as running even if send() fails synchronously.
     const HttpRequest request = makeRequest(pending);
     const RequestId requestId = pending.request_.requestId_;
-    const auto ticket =
-            connections_.send(request, requestId, left, [this, id](Result<HttpResponse> result) {
-                finish(id, mapShedResponse(std::move(result)));
-            });
+    const auto ticket = connections_.send(request, requestId, timeLeft,
+                                          [this, id](Result<HttpResponse> result) {
+                                              finish(id, mapShedResponse(std::move(result)));
+                                          });
     const auto started = requests_.find(id);
     if (started != requests_.end()) {
         started->second.connection_ = ticket;
@@ -177,17 +180,17 @@
     observation.result_ = toObservedResult(result);
     observation.at_ = loop_.now();
     observation.latency_ = observation.at_ - pending.startedAt_;
-    evidence_.end(pending.flight_, observation);
+    evidence_.end(pending.inFlightId_, observation);
     queue_.finish(id, loop_.now(), observation.result_ == ObservedResult::Succeeded);
     if (result.has_error()) {
         fail(id, result.error().kind_, result.error().message_);
     } else {
         isDrainAnnounced_ = announcesDrain(result.value());
-        ExecuteAnswer whole;
-        whole.status_ = result.value().status_;
-        whole.headers_ = toFields(result.value().headers_);
-        whole.body_ = std::move(result.value().body_);
-        answer(id, std::move(whole));
+        ExecuteAnswer executeAnswer;
+        executeAnswer.status_ = result.value().status_;
+        executeAnswer.headers_ = toFields(result.value().headers_);
+        executeAnswer.body_ = std::move(result.value().body_);
+        answer(id, std::move(executeAnswer));
     }
     tick();
 }
@@ -201,10 +204,10 @@
 {
     const auto node = requests_.extract(id);
     const Pending &pending = node.mapped();
-    ids_.erase(pending.request_.requestId_);
+    idsByRequestId_.erase(pending.request_.requestId_);
     answer.requestId_ = pending.request_.requestId_;
     answer.server_ = server_;
-    answer.loadReport_ = digest(pending.request_.kind_);
+    answer.loadReport_ = loadReport(pending.request_.kind_);
     pending.done_(std::move(answer));
 }
 
@@ -216,24 +219,24 @@
     request.target_ = pending.request_.target_;
     request.headers_ = toHeaders(pending.request_.headers_);
     request.body_ = pending.request_.body_;
-    const auto left = std::chrono::duration_cast<milliseconds>(pending.deadline_ - loop_.now());
-    request.headers_.remove("Expect"); // The caller was told to go on by this fleet.
-    request.headers_.set("X-Deadline-Ms", std::to_string(left.count()));
+    const auto timeLeft = std::chrono::duration_cast<milliseconds>(pending.deadline_ - loop_.now());
+    request.headers_.remove("Expect"); // The fleet has already answered the expectation.
+    request.headers_.set("X-Deadline-Ms", std::to_string(timeLeft.count()));
     return request;
 }
 
-GateLoadReport Gate::digest(const std::string &kind) const
+GateLoadReport Gate::loadReport(const std::string &kind) const
 {
-    GateLoadReport digest;
-    digest.queued_ = queue_.queued();
-    digest.running_ = queue_.running();
-    digest.slots_ = queue_.slots();
+    GateLoadReport report;
+    report.queued_ = queue_.queued();
+    report.running_ = queue_.running();
+    report.slots_ = queue_.slots();
     for (std::size_t rank = 0; rank < rankCount_; ++rank) {
-        digest.waitByRank_.push_back(queue_.estimatedWait(rank, loop_.now()));
+        report.waitByRank_.push_back(queue_.estimatedWait(rank, loop_.now()));
     }
-    digest.weight_ = closedFor_ ? 0.0 : weight_.weight();
-    digest.expectedServiceTime_ = queue_.expectedServiceTime(kind);
-    return digest;
+    report.weight_ = closeReason_ ? 0.0 : weight_.weight();
+    report.expectedServiceTime_ = queue_.expectedServiceTime(kind);
+    return report;
 }
 
 nlohmann::json Gate::dumpState() const
--- a/packages/qz_gates/gate/gate.h
+++ b/packages/qz_gates/gate/gate.h
@@ -16,12 +16,12 @@
 
 namespace qz {
 
-/// All work for one backend server passes its gate: it queues requests by rank, runs as many
-/// at once as the server has slots, and gathers evidence of the server's health.
+/// Receives all requests for one backend server, queues them by rank, runs at most as many at the
+/// same time as the server has slots, and collects evidence of the server's health.
 ///
-/// Invariants: each request that was taken is answered exactly once, unless it is cancelled.
-/// A request is answered as not run only if no byte of it was given to a connection, or if
-/// the server shed it. No request is sent after its time was up, nor once the gate is closed.
+/// Invariants: Each accepted request is answered exactly once. A request is answered as not run
+/// only if none of its bytes were handed to a connection or the server shed it. No request is sent
+/// after its deadline or after the gate was closed.
 /// @see GateSet, AdmissionQueue, HttpClientPool
 class Gate
 {
@@ -32,39 +32,51 @@
     Gate(const Gate &) = delete;
     Gate &operator=(const Gate &) = delete;
 
-    /// Takes a request and calls @p done once, possibly at once.
+    /// Queues a request. Calls @p done exactly once, possibly before this function returns.
     void execute(ExecuteRequest request, Done done);
 
-    /// The caller has gone: a queued request is dropped, a running one is given up if it is
-    /// repeatable. A running one that is not goes on, and its answer is still reported.
+    /// Cancels a request because its caller disconnected. Drops a queued request and aborts a
+    /// running one if it is repeatable; both are answered with CallerGone. A running request that
+    /// is not repeatable continues, and its result is still reported.
     void cancel(const RequestId &requestId);
 
-    /// To be called several times a second: drops what expired and renews the weight.
+    /// Drops expired requests, updates the weight and starts queued requests. Call this several
+    /// times per second.
     void tick();
 
-    /// No new work from now on, for the reason @p kind: queued requests are answered so.
+    /// Stops accepting requests. Queued and new requests are answered with the error @p kind;
+    /// running requests continue.
     void close(ErrorKind kind);
-    void reopen() { closedFor_.reset(); }
-    bool isClosed() const { return closedFor_.has_value(); }
 
-    /// Takes new slots and labels of the server.
+    /// Accepts requests again after close().
+    void reopen() { closeReason_.reset(); }
+    bool isClosed() const { return closeReason_.has_value(); }
+
+    /// Applies the server's current number of slots.
     void setServer(const BackendServer &server) { queue_.setSlots(server.listed_.slots_); }
+
+    /// Applies the ranks of newly adopted rules.
     void setRanks(std::vector<RankShare> ranks);
 
-    /// What the other servers of the service show, for comparison.
-    void setPeers(ServiceBaseline baseline, std::vector<EvidenceDigest> others);
+    /// Sets the evidence of the other servers of the service, to which outlier detection compares
+    /// this server.
+    void setPeers(ServiceBaseline baseline, std::vector<EvidenceDigest> otherServers);
     EvidenceDigest evidence() const { return evidence_.digest(loop_.now()); }
     double weight() const { return weight_.weight(); }
     const Verdict &verdict() const { return verdict_; }
 
-    /// Where the server was when the gate was made; a gate never moves to another address.
+    /// Returns the server's address when the gate was created. It never changes: a server that
+    /// moves to another address gets a new gate.
     const Endpoint &endpoint() const { return connections_.server(); }
 
-    /// Whether the server itself announced that it takes no new work.
+    /// Returns whether the server announced, in its latest response, that it accepts no new work.
     bool isDrainAnnounced() const { return isDrainAnnounced_; }
 
+    /// Returns the number of queued and running requests.
     std::size_t requestCount() const { return requests_.size(); }
-    GateLoadReport digest(const std::string &kind) const;
+
+    /// Returns the current load. Its expected service time is that of @p kind.
+    GateLoadReport loadReport(const std::string &kind) const;
     nlohmann::json dumpState() const;
 
 private:
@@ -73,13 +85,13 @@
         ExecuteRequest request_;
         Done done_;
         TimePoint deadline_;
-        std::optional<HttpClientPool::Ticket> connection_; ///< Set while it runs.
-        ServerEvidence::InFlightId flight_ = 0;
+        std::optional<HttpClientPool::Ticket> connection_; ///< Set while the request runs.
+        ServerEvidence::InFlightId inFlightId_ = 0;
         TimePoint startedAt_;
     };
     using Requests = std::map<std::uint64_t, Pending>;
 
-    void startWaiting();
+    void startQueuedRequests();
     void start(std::uint64_t id);
     void finish(std::uint64_t id, Result<HttpResponse> result);
     void fail(std::uint64_t id, ErrorKind kind, const std::string &message);
@@ -94,12 +106,12 @@
     OutlierDetector detector_;
     WeightController weight_;
     Verdict verdict_;
-    std::vector<EvidenceDigest> others_;
-    Requests requests_; ///< Queued and running; ids are those of the queue's tickets.
-    std::map<RequestId, std::uint64_t> ids_; ///< One for each of requests_.
+    std::vector<EvidenceDigest> otherServers_;
+    Requests requests_; ///< Queued and running, by their ids in queue_.
+    std::map<RequestId, std::uint64_t> idsByRequestId_; ///< One entry per request of requests_.
     std::uint64_t lastId_ = 0;
     std::size_t rankCount_;
-    std::optional<ErrorKind> closedFor_;
+    std::optional<ErrorKind> closeReason_;
     bool isDrainAnnounced_ = false;
 };
 
--- a/packages/qz_gates/gate/gateset.cpp
+++ b/packages/qz_gates/gate/gateset.cpp
@@ -71,7 +71,7 @@
         } else {
             gate->second->close(ErrorKind::Draining);
         }
-        // A request for a server that is listed at another address opens a new gate.
+        // The next request for a server that is listed at another address creates a new gate.
         const bool isDone = (server == nullptr || hasMoved) && gate->second->requestCount() == 0;
         gate = isDone ? gates_.erase(gate) : std::next(gate);
     }
--- a/packages/qz_gates/gate/gateset.h
+++ b/packages/qz_gates/gate/gateset.h
@@ -8,9 +8,9 @@
 
 namespace qz {
 
-/// Keeps a gate for each backend server whose work came to this instance, opens it on the
-/// first request and closes it once the server is leaving. Which instance is a server's gate
-/// is decided by those who send.
+/// Keeps a gate for each backend server for which this instance received requests. Creates a gate
+/// on the first request and closes it once the server is leaving. The senders of requests decide
+/// which instance is the gate of a server.
 /// @see GateMap
 class GateSet
 {
@@ -19,20 +19,27 @@
     GateSet(const GateSet &) = delete;
     GateSet &operator=(const GateSet &) = delete;
 
+    /// Passes a request to the gate of its server. Calls @p done exactly once, possibly before this
+    /// function returns.
+    /// Errors: Draining if this instance is leaving, NotTheGate if the server is unknown, and those
+    /// of the gate.
     void execute(ExecuteRequest request, Gate::Done done);
     void cancel(const CancelRequest &request);
+
+    /// Calls tick() of all gates and closes those whose server announced a drain.
     void tick();
 
-    /// Takes the ranks of newly adopted rules, for all gates.
+    /// Applies the ranks of newly adopted rules to all gates.
     void setRanks(const std::vector<Rank> &ranks);
 
-    /// Applies a change of the directory: new slots, leaving servers.
+    /// Applies a change of the directory: updates slots, closes the gates of servers that are
+    /// leaving or not listed any more, and removes gates that are no longer needed.
     void applyDirectory();
 
-    /// This instance is leaving: no gate takes work any more.
+    /// Closes all gates because this instance is leaving.
     void close();
 
-    /// Requests queued or running.
+    /// Returns the number of queued and running requests in all gates.
     std::size_t requestCount() const;
 
     const std::map<BackendServerId, std::unique_ptr<Gate>> &gates() const { return gates_; }
--- a/packages/qz_gates/messages/executemessages.cpp
+++ b/packages/qz_gates/messages/executemessages.cpp
@@ -1,4 +1,4 @@
-// Conversions between messages and the values of other packages.
+// Conversions between peer messages and HTTP messages.
 #include "qz_gates/messages/executemessages.h"
 
 #include <utility>
--- a/packages/qz_gates/messages/executemessages.h
+++ b/packages/qz_gates/messages/executemessages.h
@@ -1,4 +1,4 @@
-// What entries and gates tell each other about requests.
+// The peer messages by which entries and gates exchange requests and answers.
 #pragma once
 
 #include "qz_core/errors/error.h"
@@ -21,18 +21,18 @@
     MSGPACK_DEFINE_ARRAY(name_, value_)
 };
 
-/// An entry asks a gate to run one request on its backend server.
+/// Sent by an entry to have a gate run one request on its backend server.
 struct ExecuteRequest
 {
-    RequestId requestId_; ///< Unique to this try of the request.
+    RequestId requestId_; ///< Unique per attempt of the request.
     BackendServerId server_;
     std::string kind_;
     std::uint64_t rank_ = 0; ///< 0 is the most urgent.
     WorkspaceId workspace_;
-    double weight_ = 1.0; ///< Of the workspace.
-    double worth_ = 1.0;
+    double weight_ = 1.0; ///< Weight of the workspace.
+    double worth_ = 1.0;  ///< Worth of an answer before the deadline.
     bool repeatable_ = false;
-    Duration timeLeft_{}; ///< From sending until the answer is worth nothing.
+    Duration timeLeft_{}; ///< Time from sending to the deadline.
     std::string method_;
     std::string target_;
     std::vector<HeaderField> headers_;
@@ -42,25 +42,25 @@
                          repeatable_, timeLeft_, method_, target_, headers_, body_)
 };
 
-/// The state of a gate's queue and the weight of its backend server, told on each answer.
+/// The load of a gate and the weight of its backend server, included in each answer.
 struct GateLoadReport
 {
     std::uint64_t queued_ = 0;
     std::uint64_t running_ = 0;
     std::int32_t slots_ = 1;
-    std::vector<Duration> waitByRank_;
-    double weight_ = 1.0;            ///< 0..1, by health.
-    Duration expectedServiceTime_{}; ///< Of the kind that the answer is about; zero if unknown.
+    std::vector<Duration> waitByRank_; ///< Expected wait of a new request of each rank.
+    double weight_ = 1.0;              ///< 0 to 1, depends on the server's health.
+    Duration expectedServiceTime_{};   ///< Of the request's kind; zero if unknown.
 
     MSGPACK_DEFINE_ARRAY(queued_, running_, slots_, waitByRank_, weight_, expectedServiceTime_)
 };
 
-/// What became of a request at a gate.
+/// Sent by a gate with the result of a request.
 struct ExecuteAnswer
 {
     RequestId requestId_;
     BackendServerId server_;
-    std::string errorKind_; ///< Stable name of an ErrorKind; empty if a whole answer follows.
+    std::string errorKind_; ///< Stable name of an ErrorKind; empty if there is a response.
     std::string errorMessage_;
     std::int32_t status_ = 0;
     std::vector<HeaderField> headers_;
@@ -71,7 +71,7 @@
                          loadReport_)
 };
 
-/// The caller of a request has gone.
+/// Sent by an entry to cancel a request whose caller disconnected.
 struct CancelRequest
 {
     RequestId requestId_;
@@ -80,16 +80,17 @@
     MSGPACK_DEFINE_ARRAY(requestId_, server_)
 };
 
-/// An answer that tells @p error.
+/// Returns an answer that reports @p error.
 ExecuteAnswer makeErrorAnswer(const RequestId &requestId, const BackendServerId &server,
                               const Error &error);
 
-/// The whole answer that @p answer carries, or the error that it tells. An unknown error name,
-/// from a newer instance, is read as Internal, whose outcome is unknown.
+/// Returns the response in @p answer, or the error that it reports. Reads an unknown error name,
+/// from an instance of a newer version, as Internal, whose outcome is unknown.
 Result<HttpResponse> toResult(ExecuteAnswer answer);
 
-/// Header fields that a proxy passes on.
+/// Returns the header fields that a proxy forwards: all but the hop-by-hop ones.
 std::vector<HeaderField> toFields(const HttpHeaders &headers);
+
 HttpHeaders toHeaders(const std::vector<HeaderField> &fields);
 
 } // namespace qz
--- a/packages/qz_gates/qz_gates.h
+++ b/packages/qz_gates/qz_gates.h
@@ -1,6 +1,6 @@
 // Package:      qz_gates
-// Purpose:      one gate for each backend server: its queue, its slots, its connections and
-//               the exchange of requests between entries and gates.
+// Purpose:      one gate per backend server, with its queue, slots and connections, and the
+//               messages by which entries and gates exchange requests.
 // Dependencies: qz_core, qz_http, qz_fleet, qz_rules, qz_admission, qz_health
 #pragma once
 
--- a/packages/qz_gates/tests/backenddirectorytest.cpp
+++ b/packages/qz_gates/tests/backenddirectorytest.cpp
@@ -1,4 +1,4 @@
-// Tests of the directory of backend servers and of the order of gates.
+// Tests of BackendDirectory and GateMap.
 #include "qz_gates/directory/backenddirectory.h"
 
 #include "qz_gates/directory/gatemap.h"
@@ -39,7 +39,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(aKindIsServedByTheServersThatItsSelectorMatches)
+BOOST_AUTO_TEST_CASE(findsTheServersThatMatchTheSelectorOfAKind)
 {
     const auto rules = makeRules("");
     qz::BackendDirectory directory;
@@ -51,7 +51,7 @@
     BOOST_TEST(servers.front()->service_.value() == "s");
 }
 
-BOOST_AUTO_TEST_CASE(aServerLeavesByTheListOrByAnOperatorsLabel)
+BOOST_AUTO_TEST_CASE(aServerIsLeavingIfListedOrLabelledSo)
 {
     qz::BackendDirectory directory;
     auto leaving = makeServer("a", "s");
@@ -63,7 +63,7 @@
     BOOST_TEST(!directory.find(qz::BackendServerId("c"))->isLeaving());
 }
 
-BOOST_AUTO_TEST_CASE(gatesOfTheServersOwnFailureDomainComeFirst)
+BOOST_AUTO_TEST_CASE(prefersGatesInTheFailureDomainOfTheServer)
 {
     qz::GateMap map;
     map.setMembers({ makeMember("x", "d2"), makeMember("y", "d1"), makeMember("z", "d2") });
@@ -72,7 +72,7 @@
     BOOST_TEST(gates.front().value() == "y");
 }
 
-BOOST_AUTO_TEST_CASE(aLeavingInstanceIsNoGate)
+BOOST_AUTO_TEST_CASE(aLeavingInstanceIsNotAGate)
 {
     auto leaving = makeMember("y", "d1");
     leaving.state_ = qz::MemberState::Leaving;
--- a/packages/qz_gates/tests/gatetest.cpp
+++ b/packages/qz_gates/tests/gatetest.cpp
@@ -1,4 +1,4 @@
-// Tests of a gate against backend servers that misbehave.
+// Tests of Gate and GateSet with scripted backend servers, some of which fail.
 #include "qz_gates/gate/gateset.h"
 
 #include "qz_http/tests/rawsocket.h"
@@ -10,11 +10,11 @@
 
 namespace {
 
-constexpr const char *answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+constexpr const char *okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-struct GateOf
+struct GateFixture
 {
-    GateOf(RawServer::Script script, int slots)
+    GateFixture(RawServer::Script script, int slots)
         : server_(loop_, std::move(script))
         , gate_(loop_, makeServer(slots), { qz::RankShare{} })
     {
@@ -39,9 +39,10 @@
         request.timeLeft_ = timeLeft;
         request.method_ = "GET";
         request.target_ = "/";
-        gate_.execute(request, [this](const qz::ExecuteAnswer &told) {
-            answers_[told.requestId_.value()] =
-                    told.errorKind_.empty() ? told.body_ : told.errorKind_;
+        gate_.execute(request, [this](const qz::ExecuteAnswer &executeAnswer) {
+            answers_[executeAnswer.requestId_.value()] = executeAnswer.errorKind_.empty()
+                    ? executeAnswer.body_
+                    : executeAnswer.errorKind_;
         });
     }
 
@@ -53,9 +54,9 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(noMoreRequestsRunAtOnceThanThereAreSlots)
+BOOST_AUTO_TEST_CASE(runsNoMoreRequestsThanSlots)
 {
-    GateOf gate([](bufferevent * /*stream*/, int /*reads*/) {}, 2);
+    GateFixture gate([](bufferevent * /*stream*/, int /*reads*/) {}, 2);
     for (const char *id : { "1", "2", "3" }) {
         gate.execute(id);
     }
@@ -64,9 +65,9 @@
     BOOST_TEST(gate.gate_.requestCount() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(everyRequestGetsItsAnswer)
+BOOST_AUTO_TEST_CASE(answersEveryRequest)
 {
-    GateOf gate([](bufferevent *stream, int /*reads*/) { write(stream, answer); }, 2);
+    GateFixture gate([](bufferevent *stream, int /*reads*/) { write(stream, okResponse); }, 2);
     for (const char *id : { "1", "2", "3", "4" }) {
         gate.execute(id);
     }
@@ -76,9 +77,9 @@
     BOOST_TEST(gate.gate_.requestCount() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(aShedRequestIsNotRunAndACutOneIsUnknown)
+BOOST_AUTO_TEST_CASE(distinguishesAShedRequestFromACutConnection)
 {
-    GateOf gate(
+    GateFixture gate(
             [](bufferevent *stream, int reads) {
                 if (reads == 1) {
                     write(stream, "HTTP/1.1 503 X\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n");
@@ -94,9 +95,9 @@
     BOOST_TEST(gate.answers_["cut"] == "backend-cut");
 }
 
-BOOST_AUTO_TEST_CASE(aQueuedRequestWhoseTimeIsUpIsNeverSent)
+BOOST_AUTO_TEST_CASE(neverSendsARequestThatExpiredInTheQueue)
 {
-    GateOf gate([](bufferevent * /*stream*/, int /*reads*/) {}, 1);
+    GateFixture gate([](bufferevent * /*stream*/, int /*reads*/) {}, 1);
     gate.execute("first", true, 300ms);
     gate.execute("second", true, 50ms);
     gate.loop_.runFor(100ms);
@@ -107,9 +108,9 @@
     BOOST_TEST(gate.server_.readCount() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(aClosedGateEndsWhatRunsAndTakesNothingNew)
+BOOST_AUTO_TEST_CASE(aClosedGateFinishesRunningRequestsAndRefusesOthers)
 {
-    GateOf gate([](bufferevent *stream, int /*reads*/) { write(stream, answer); }, 1);
+    GateFixture gate([](bufferevent *stream, int /*reads*/) { write(stream, okResponse); }, 1);
     gate.execute("running");
     gate.execute("queued");
     gate.gate_.close(qz::ErrorKind::Draining);
@@ -120,25 +121,25 @@
     BOOST_TEST(gate.answers_["new"] == "draining");
 }
 
-BOOST_AUTO_TEST_CASE(aCancelledRequestFreesItsSlotOnlyIfItIsRepeatable)
+BOOST_AUTO_TEST_CASE(cancelFreesTheSlotOnlyOfARepeatableRequest)
 {
-    GateOf gate([](bufferevent * /*stream*/, int /*reads*/) {}, 1);
+    GateFixture gate([](bufferevent * /*stream*/, int /*reads*/) {}, 1);
     gate.execute("order", false);
     gate.loop_.runFor(20ms);
     gate.gate_.cancel(qz::RequestId("order"));
     BOOST_TEST(gate.gate_.requestCount() == 1U);
-    GateOf other([](bufferevent * /*stream*/, int /*reads*/) {}, 1);
+    GateFixture other([](bufferevent * /*stream*/, int /*reads*/) {}, 1);
     other.execute("view", true);
     other.loop_.runFor(20ms);
     other.gate_.cancel(qz::RequestId("view"));
     BOOST_TEST(other.gate_.requestCount() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(aServerListedAtAnotherAddressGetsANewGate)
+BOOST_AUTO_TEST_CASE(aServerListedAtANewAddressGetsANewGate)
 {
     qz::EventLoop loop;
-    RawServer before(loop, [](bufferevent *stream, int /*reads*/) { write(stream, answer); });
-    RawServer after(loop, [](bufferevent *stream, int /*reads*/) { write(stream, answer); });
+    RawServer before(loop, [](bufferevent *stream, int /*reads*/) { write(stream, okResponse); });
+    RawServer after(loop, [](bufferevent *stream, int /*reads*/) { write(stream, okResponse); });
     qz::BackendDirectory directory;
     directory.setRules(qz::RuleSet::parse(R"({"ranks":[{"name":"r","order":0,"target_ms":100,
         "share":0.5,"worth":1}],"kinds":[],"routes":[],"services":[],"workspaces":[],
@@ -158,8 +159,9 @@
         request.timeLeft_ = 1s;
         request.method_ = "GET";
         request.target_ = "/";
-        gates.execute(request,
-                      [&](const qz::ExecuteAnswer &told) { answered += told.status_ == 200; });
+        gates.execute(request, [&](const qz::ExecuteAnswer &executeAnswer) {
+            answered += executeAnswer.status_ == 200;
+        });
         loop.runFor(50ms);
     }
     BOOST_TEST(answered == 2);
