--- a/apps/quetzaldaled/daemon.cpp
+++ b/apps/quetzaldaled/daemon.cpp
@@ -1,4 +1,4 @@
-// One instance: all duties joined on one event loop.
+// Builds, connects and runs the parts of an instance with its own rules.
 #include "quetzaldaled/daemon.h"
 
 #include "qz_core/ids/randomid.h"
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr Duration tickPeriod = std::chrono::milliseconds(50);
-constexpr std::size_t journalLimit = 2000; ///< Requests.
+constexpr std::size_t journalSize = 2000; ///< Requests that the journal keeps.
 constexpr int exitCannotListen = 2;
 
 HttpServerLimits makeServerLimits(const DaemonSettings &settings)
@@ -43,7 +43,7 @@
     , gates_(loop_, view_.directory())
     , dispatcher_(loop_, settings_.instanceId_, *links_, gates_)
     , retries_(RetryTokenLimits{}, loop_.now())
-    , journal_(journalLimit)
+    , journal_(journalSize)
     , entry_({ loop_, view_, dispatcher_, *claims_, digests_, retries_, chooser_, random_, journal_,
                metrics_ },
              settings_.addressKeepTime_)
@@ -196,7 +196,7 @@
     steps.end_ = [this](int exitStatus) {
         exitStatus_ = exitStatus;
         membershipDriver_.end();
-        // One more turn of the loop lets the last messages out.
+        // The loop runs for one more period so that the last messages are sent.
         handles_.push_back(loop_.callAfter(tickPeriod, [this] {
             server_.closeIdleConnections();
             links_->stop();
@@ -208,20 +208,20 @@
 
 nlohmann::json Daemon::inFlight() const
 {
-    nlohmann::json held = nlohmann::json::object();
+    nlohmann::json counts = nlohmann::json::object();
     if (server_.openExchangeCount() > 0) {
-        held["caller_requests"] = server_.openExchangeCount();
+        counts["caller_requests"] = server_.openExchangeCount();
     }
     if (gates_.requestCount() > 0) {
-        held["gate_requests"] = gates_.requestCount();
+        counts["gate_requests"] = gates_.requestCount();
     }
     if (dispatcher_.pendingCount() > 0) {
-        held["dispatched_requests"] = dispatcher_.pendingCount();
+        counts["dispatched_requests"] = dispatcher_.pendingCount();
     }
     if (links_->unsentBytes() > 0) {
-        held["unsent_bytes"] = links_->unsentBytes();
+        counts["unsent_bytes"] = links_->unsentBytes();
     }
-    return held;
+    return counts;
 }
 
 nlohmann::json Daemon::dumpState() const
--- a/apps/quetzaldaled/daemon.h
+++ b/apps/quetzaldaled/daemon.h
@@ -1,4 +1,4 @@
-// One instance: all duties joined on one event loop.
+// The daemon of an instance with its own rules: all its parts on one event loop.
 #pragma once
 
 #include "quetzaldaled/daemonsettings.h"
@@ -16,7 +16,7 @@
 
 namespace qz {
 
-/// Builds the parts of an instance, joins them and runs them until a planned stop has ended.
+/// Builds the parts of an instance, connects them and runs them until a graceful stop has ended.
 /// @see DaemonSettings, DrainSequence
 class Daemon
 {
@@ -25,7 +25,7 @@
     Daemon(const Daemon &) = delete;
     Daemon &operator=(const Daemon &) = delete;
 
-    /// Runs; the exit status of the process.
+    /// Runs until the instance has stopped. Returns the exit status of the process.
     int run();
 
 private:
@@ -66,9 +66,9 @@
     OperatorService operators_;
     HttpServer server_;
     DrainSequence drain_;
-    RulesVersion appliedRules_ = 0; ///< The version whose ranks the gates have.
+    RulesVersion appliedRules_ = 0; ///< The version whose ranks the gates use.
     int exitStatus_ = 0;
-    std::vector<Timers::HandlePtr> handles_;
+    std::vector<Timers::HandlePtr> handles_; ///< Of timers and signal handlers.
 };
 
 } // namespace qz
--- a/apps/quetzaldaled/daemonsettings.cpp
+++ b/apps/quetzaldaled/daemonsettings.cpp
@@ -1,4 +1,4 @@
-// What a daemon is told at its start.
+// Reads and checks the settings of an instance with its own rules.
 #include "quetzaldaled/daemonsettings.h"
 
 namespace qz {
@@ -7,22 +7,24 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t leastSecretLength = 16;
-constexpr std::int64_t leastBodyBytes = 1024;
-constexpr std::int64_t mostBodyBytes = 1024L * 1024; ///< A frame between instances must hold it.
-constexpr Duration longest = 24h;
+constexpr std::size_t minSecretLength = 16;
+constexpr std::int64_t minBodyLimitBytes = 1024;
+/// A body must fit into one frame of the links between instances.
+constexpr std::int64_t maxBodyLimitBytes = 1024L * 1024;
+constexpr Duration maxDrainTime = 24h;
 
 std::string readSecret(SettingsReader &reader, const std::string &name)
 {
     std::string secret = reader.text(name);
-    if (!secret.empty() && secret.size() < leastSecretLength) {
-        reader.addProblem(
-                name, "must have at least " + std::to_string(leastSecretLength) + " characters");
+    if (!secret.empty() && secret.size() < minSecretLength) {
+        reader.addProblem(name,
+                          "must have at least " + std::to_string(minSecretLength) + " characters");
     }
     return secret;
 }
 
-void checkTogether(const DaemonSettings &settings, SettingsReader &reader)
+/// Reports settings that contradict each other.
+void checkConsistency(const DaemonSettings &settings, SettingsReader &reader)
 {
     if (settings.callerAddress_ == settings.peerAddress_ && settings.callerAddress_.port_ != 0) {
         reader.addProblem("peer-address", "must differ from --caller-address");
@@ -59,18 +61,18 @@
     settings.platformTimeout_ = reader.milliseconds("platform-timeout-ms", 10ms, 60s, 1s);
     settings.addressKeepTime_ = reader.milliseconds("address-keep-ms", 100ms, 10min, 10s);
     settings.gateDrainGrace_ = reader.milliseconds("gate-drain-grace-ms", 0ms, 10min, 2s);
-    settings.drainGrace_ = reader.milliseconds("drain-grace-ms", 0ms, longest, 11s);
-    settings.drainLimit_ = reader.milliseconds("drain-limit-ms", 0ms, longest, 40s);
+    settings.drainGrace_ = reader.milliseconds("drain-grace-ms", 0ms, maxDrainTime, 11s);
+    settings.drainLimit_ = reader.milliseconds("drain-limit-ms", 0ms, maxDrainTime, 40s);
     settings.rulesLimit_ = reader.milliseconds("rules-limit-ms", 1s, 60s, 5s);
-    settings.bodyLimitBytes_ = static_cast<std::size_t>(
-            reader.integer("body-limit-bytes", leastBodyBytes, mostBodyBytes, mostBodyBytes));
+    settings.bodyLimitBytes_ = static_cast<std::size_t>(reader.integer(
+            "body-limit-bytes", minBodyLimitBytes, maxBodyLimitBytes, maxBodyLimitBytes));
     const auto level = parseLogLevel(reader.text("log-level", "info"));
     if (level.has_error()) {
         reader.addProblem("log-level", level.error().message_);
     } else {
         settings.logLevel_ = level.value();
     }
-    checkTogether(settings, reader);
+    checkConsistency(settings, reader);
     return settings;
 }
 
--- a/apps/quetzaldaled/drainsequence.cpp
+++ b/apps/quetzaldaled/drainsequence.cpp
@@ -1,4 +1,4 @@
-// The planned stop of a daemon.
+// Runs the steps of the graceful stop and checks what is still in flight.
 #include "quetzaldaled/drainsequence.h"
 
 #include "qz_core/faults/faultpoint.h"
--- a/apps/quetzaldaled/drainsequence.h
+++ b/apps/quetzaldaled/drainsequence.h
@@ -1,4 +1,4 @@
-// The planned stop of a daemon, in steps that cut nothing in flight.
+// The graceful stop of a daemon, in steps that do not interrupt requests in flight.
 #pragma once
 
 #include "qz_core/loop/eventloop.h"
@@ -9,25 +9,31 @@
 
 namespace qz {
 
-/// What a planned stop does at each step; all run on the loop.
+/// The functions that a graceful stop calls at its steps, all on the event loop.
 struct DrainSteps
 {
-    std::function<void()> leave_;      ///< At once: tell peers and callers.
-    std::function<void()> closeGates_; ///< After the gates' grace: no new work at gates here.
-    std::function<void()> closeEntry_; ///< After the grace: no new callers.
-    std::function<nlohmann::json()> inFlight_; ///< What is still held; empty if nothing.
-    std::function<void(int exitStatus)> end_;  ///< Last, once.
+    /// Called at once: announces to peers and callers that this instance is leaving.
+    std::function<void()> leave_;
+    /// Called after the grace of the gates: this instance's gates accept no new requests.
+    std::function<void()> closeGates_;
+    /// Called after the grace of the entry: this instance accepts no new callers.
+    std::function<void()> closeEntry_;
+    /// Returns the counts of what is still in flight, or an empty object.
+    std::function<nlohmann::json()> inFlight_;
+    /// Called last, and once.
+    std::function<void(int exitStatus)> end_;
 };
 
+/// All times count from the start of the drain.
 struct DrainTimes
 {
     Duration gateGrace_{};
-    Duration entryGrace_{}; ///< Not below the time for which callers keep an address.
-    Duration limit_{};
+    Duration entryGrace_{}; ///< At least the time for which callers cache an address.
+    Duration limit_{};      ///< The process ends even with requests in flight.
 };
 
-/// Runs the steps in order. It ends once nothing is in flight, or at the limit; it then logs
-/// what was still held and ends with exitLimitReached.
+/// Runs the steps in order and ends once nothing is in flight. At the limit it logs what is
+/// still in flight and ends with the exit status exitLimitReached.
 class DrainSequence
 {
 public:
@@ -37,7 +43,7 @@
     DrainSequence(const DrainSequence &) = delete;
     DrainSequence &operator=(const DrainSequence &) = delete;
 
-    /// Begins; a second call does nothing.
+    /// Starts the drain. Further calls have no effect.
     void start();
 
 private:
--- a/apps/quetzaldaled/main.cpp
+++ b/apps/quetzaldaled/main.cpp
@@ -1,4 +1,4 @@
-// The daemon's program: reads settings, then runs one Daemon until it is told to stop.
+// The program of the daemon: reads the settings, then runs one instance until it has stopped.
 #include "quetzaldaled/daemon.h"
 #include "quetzaldaled/serve/servedaemon.h"
 
@@ -88,6 +88,7 @@
 after a stop, 2 for bad settings or an address that cannot be had.
 )";
 
+/// Returns the values of the given flags by name, without their dashes.
 qz::SettingsReader::Values readFlags(const char *text, int argc, char **argv)
 {
     qz::SettingsReader::Values flags;
@@ -104,7 +105,7 @@
     return flags;
 }
 
-/// Reads the settings and runs; for both kinds of instance.
+/// Reads the settings and runs a daemon of either kind. Returns the exit status.
 template<typename Settings, typename DaemonType>
 int runDaemon(const qz::SettingsReader::Values &flags)
 {
@@ -134,8 +135,8 @@
         const int status =
                 runDaemon<qz::ServeSettings, qz::ServeDaemon>(readFlags(serveUsage, argc, argv));
         std::cout.flush();
-        // A normal exit joins the logging library's idle threads, which may not get to run
-        // before the process is killed.
+        // A normal exit waits for the idle threads of the logging library. These may not be
+        // scheduled before the process is killed.
         std::quick_exit(status);
     }
     return runDaemon<qz::DaemonSettings, qz::Daemon>(readFlags(usage, argc, argv));
--- a/apps/quetzaldaled/rulesadapter.cpp
+++ b/apps/quetzaldaled/rulesadapter.cpp
@@ -1,4 +1,4 @@
-// The rules at work in a daemon.
+// Sends and receives the rules' messages and serves the operators' endpoints.
 #include "quetzaldaled/rulesadapter.h"
 
 #include "quetzaldaled/rulesmessages.h"
@@ -56,11 +56,11 @@
     operations_ = std::make_unique<RulesOperations>(*service_);
     parts_.links_.setHandler(MessageKind::RulesRequest,
                              [this](const InstanceId &from, std::string_view payload) {
-                                 takeRequest(from, payload);
+                                 handleRequest(from, payload);
                              });
     parts_.links_.setHandler(MessageKind::RulesAnswer,
                              [this](const InstanceId &from, std::string_view payload) {
-                                 takeAnswer(from, payload);
+                                 handleAnswer(from, payload);
                              });
     parts_.view_.setInForceTest([this] { return service_->inForce().has_value(); });
 }
@@ -88,11 +88,11 @@
 
 void RulesAdapter::send(const VoterId &to, MessageKind kind, std::string payload)
 {
-    // A message that cannot be sent counts as lost; the service asks again.
+    // A message that cannot be sent is lost; the service sends its request again.
     (void)parts_.links_.send(instanceOf(to), kind, std::move(payload));
 }
 
-void RulesAdapter::takeRequest(const InstanceId &from, std::string_view payload)
+void RulesAdapter::handleRequest(const InstanceId &from, std::string_view payload)
 {
     const auto message = unpackMessage<RulesRequestMessage>(payload);
     if (message.has_error()) {
@@ -104,7 +104,7 @@
     service_->takeRequest(sender, fromMessage(message.value()));
 }
 
-void RulesAdapter::takeAnswer(const InstanceId &from, std::string_view payload)
+void RulesAdapter::handleAnswer(const InstanceId &from, std::string_view payload)
 {
     const auto message = unpackMessage<RulesAnswerMessage>(payload);
     if (message.has_error()) {
@@ -153,7 +153,8 @@
 {
     auto state = operations_->describe();
     state["instance"] = parts_.view_.self().id_.value();
-    state["rules_version"] = parts_.view_.rulesVersion(); // By which work is classified.
+    // The version by which requests are classified at this time.
+    state["rules_version"] = parts_.view_.rulesVersion();
     return state;
 }
 
--- a/apps/quetzaldaled/rulesadapter.h
+++ b/apps/quetzaldaled/rulesadapter.h
@@ -1,4 +1,4 @@
-// The rules at work in a daemon: their messages, and the operators' endpoints for them.
+// Connects the rules to a daemon: their messages on the links, and the operators' endpoints.
 #pragma once
 
 #include "qz_fleet/links/peerlinks.h"
@@ -13,7 +13,7 @@
 
 namespace qz {
 
-/// Connects a RulesService to the links, the working view and the operators.
+/// Connects a RulesService to the links, the WorkingView and the operators' endpoints.
 class RulesAdapter
 {
 public:
@@ -26,30 +26,33 @@
         WorkingView &view_;
     };
 
+    /// The rules are no longer in force if they could not be confirmed for @p inForceLimit.
     RulesAdapter(const Parts &parts, std::string incarnation, Duration inForceLimit);
     RulesAdapter(const RulesAdapter &) = delete;
     RulesAdapter &operator=(const RulesAdapter &) = delete;
 
+    /// Sets the members of the fleet. The other live ones take part as voters.
     void setMembers(const std::vector<Member> &members);
+    /// Sets the instances that the platform lists.
     void setListed(const InstanceListing &listing);
 
-    /// GET and PUT /operator/rules.
+    /// Handles GET and PUT /operator/rules.
     void handleRules(const std::shared_ptr<HttpExchange> &exchange);
-    /// GET /operator/status.
+    /// Handles GET /operator/status.
     void handleStatus(const std::shared_ptr<HttpExchange> &exchange);
 
     nlohmann::json dumpState() const;
 
 private:
     void send(const VoterId &to, MessageKind kind, std::string payload);
-    void takeRequest(const InstanceId &from, std::string_view payload);
-    void takeAnswer(const InstanceId &from, std::string_view payload);
+    void handleRequest(const InstanceId &from, std::string_view payload);
+    void handleAnswer(const InstanceId &from, std::string_view payload);
     void adopt(const RulesRevision &revision);
 
     const Parts parts_;
     const std::string incarnation_;
     std::unique_ptr<RulesService> service_;
-    std::unique_ptr<RulesOperations> operations_; ///< On service_.
+    std::unique_ptr<RulesOperations> operations_; ///< Refers to service_.
 };
 
 } // namespace qz
--- a/apps/quetzaldaled/rulesmessages.cpp
+++ b/apps/quetzaldaled/rulesmessages.cpp
@@ -1,4 +1,4 @@
-// The rules' messages in the form in which they travel between instances.
+// Converts between the rules' messages and their form on the links.
 #include "quetzaldaled/rulesmessages.h"
 
 namespace qz {
--- a/apps/quetzaldaled/rulesmessages.h
+++ b/apps/quetzaldaled/rulesmessages.h
@@ -1,4 +1,4 @@
-// The rules' messages in the form in which they travel between instances.
+// The messages about rules as they are encoded on the links between instances.
 #pragma once
 
 #include "qz_fleet/messages/packing.h"
@@ -42,7 +42,7 @@
     std::string senderIncarnation_;
     std::uint64_t requestId_ = 0;
     RulesDigestMessage digest_;
-    std::string head_; ///< The head row's text; empty if it is not told.
+    std::string head_; ///< Text of the head row; empty if the answer has no head.
     bool hasTableAge_ = false;
     Duration tableAge_{};
     std::vector<RulesVoucherMessage> vouchers_;
@@ -52,13 +52,15 @@
                          vouchers_, objects_)
 };
 
+/// Converts to the encoded form. @p incarnation is the sender's.
 RulesRequestMessage toMessage(const RulesRequest &request, const RulesDigest &digest,
                               const std::string &incarnation);
 RulesAnswerMessage toMessage(const RulesAnswer &answer, const std::string &incarnation);
+/// Converts from the encoded form.
 RulesDigest fromMessage(const RulesDigestMessage &message);
 RulesRequest fromMessage(const RulesRequestMessage &message);
 
-/// Errors: MalformedReply, if the head cannot be read.
+/// Errors: MalformedReply if the head cannot be decoded.
 Result<RulesAnswer> fromMessage(const RulesAnswerMessage &message);
 
 } // namespace qz
--- a/apps/quetzaldaled/serve/servedaemon.cpp
+++ b/apps/quetzaldaled/serve/servedaemon.cpp
@@ -1,4 +1,4 @@
-// The parts of an instance, joined.
+// Connects the parts of an instance and runs them.
 #include "quetzaldaled/serve/servedaemon.h"
 
 #include "platform/decoding/directoryanswer.h"
@@ -18,18 +18,22 @@
 using namespace std::chrono_literals;
 
 constexpr Duration tickPeriod = 1s;
-/// Requests that come right after a start wait so long for the configuration and the list of
-/// servers, which take a few tenths of a second. Callers have a second to be read.
-constexpr Duration startWait = 900ms;
-constexpr Duration rolePeriod = 200ms; ///< Checks who takes callers and who reads the store.
+/// Requests that arrive right after a start are deferred until the configuration and the list
+/// of backend servers are known, which takes a few tenths of a second, but no longer than this:
+/// the request of a caller must be read within one second.
+constexpr Duration startupDeferLimit = 900ms;
+/// Period in which the instance checks whether callers are sent to it and whether it is a
+/// reader of the store.
+constexpr Duration roleUpdatePeriod = 200ms;
 constexpr Duration stopCheckPeriod = 100ms;
-/// Left of the stop limit for the last answers to reach their callers.
+/// Part of the stop limit that is reserved for the last answers to reach their callers.
 constexpr Duration stopMargin = 300ms;
-/// Callers may keep an address so many times as long as they were told.
+/// Callers may use an address for this multiple of the time that the directory states.
 constexpr int addressKeepFactor = 3;
-/// After that time callers that are late with a new answer still come.
+/// Extra time for callers that receive a new answer of the directory late.
 constexpr Duration lateCallerTime = 500ms;
-/// Of the slack of retry budgets: the part that the entries share.
+/// Part of the slack of the retry budgets that is shared by the instances to which callers are
+/// sent. The other instances share the rest.
 constexpr double entrySlackPart = 0.85;
 constexpr int exitCannotListen = 2;
 constexpr int statusOk = 200;
@@ -62,19 +66,21 @@
     , replicas_(loop_, *links_, directory_)
     , platform_(loop_, { settings_.storeAddress_, settings_.regions_, makeSelf() }, backends_,
                 replicas_, makeAdapterHandlers())
-    , callers_(loop_, {}, [this](const auto &exchange) { forwarder_.handle(exchange); })
-    , ready_(loop_, {}, [this](const auto &exchange) { handleControlRequest(exchange); })
+    , callerServer_(loop_, {}, [this](const auto &exchange) { forwarder_.handle(exchange); })
+    , readinessServer_(loop_, {}, [this](const auto &exchange) { handleControlRequest(exchange); })
     , directoryServer_(loop_, {}, [this](const auto &exchange) { handleControlRequest(exchange); })
     , metricsServer_(loop_, {}, [this](const auto &exchange) { handleControlRequest(exchange); })
-    , duties_(settings_.instanceId_)
+    , serverRoles_(settings_.instanceId_)
 {
-    forwarder_.setHealthListener([this](const Backend &server, Duration hold) {
-        presence_.sendHealthReport({ server.listed().id_, server.listed().incarnation_, hold });
+    forwarder_.setHealthListener([this](const Backend &server, Duration ejectionTime) {
+        presence_.sendHealthReport(
+                { server.listed().id_, server.listed().incarnation_, ejectionTime });
     });
     forwarder_.setServerRoleProvider([this](const Backend &server) {
-        return duties_.find(server.listed().id_, server.listed().location_);
+        return serverRoles_.find(server.listed().id_, server.listed().location_);
     });
-    presence_.setHealthReportHandler([this](const HealthReportMessage &note) { applyNote(note); });
+    presence_.setHealthReportHandler(
+            [this](const HealthReportMessage &report) { applyHealthReport(report); });
     presence_.setVersionsProvider([this] { return replicas_.versions(); });
     presence_.setVersionsHandler([this](const InstanceId &from, const TableVersions &versions) {
         replicas_.requestNewerTables(from, versions);
@@ -89,11 +95,11 @@
         return exitCannotListen;
     }
     watchSignals();
-    forwarder_.deferRequests(startWait);
+    forwarder_.deferRequests(startupDeferLimit);
     presence_.start();
     replicas_.start();
     platform_.start();
-    handles_.push_back(loop_.callEvery(rolePeriod, [this] { updateRoles(); }));
+    handles_.push_back(loop_.callEvery(roleUpdatePeriod, [this] { updateRoles(); }));
     handles_.push_back(loop_.callEvery(tickPeriod, [this] { tick(); }));
     log(LogLevel::Info, "started",
         { { "settings", settings_.toJson() }, { "incarnation", incarnation_ } });
@@ -150,8 +156,8 @@
 Result<void> ServeDaemon::listen()
 {
     BOOST_OUTCOME_TRY(links_->start());
-    BOOST_OUTCOME_TRY(callers_.listen(settings_.callerAddress_));
-    BOOST_OUTCOME_TRY(ready_.listen(settings_.readyAddress_));
+    BOOST_OUTCOME_TRY(callerServer_.listen(settings_.callerAddress_));
+    BOOST_OUTCOME_TRY(readinessServer_.listen(settings_.readyAddress_));
     BOOST_OUTCOME_TRY(directoryServer_.listen(settings_.directoryAddress_));
     return metricsServer_.listen(settings_.metricsAddress_);
 }
@@ -162,7 +168,7 @@
         handles_.push_back(loop_.onSignal(number, [this] { startStopping(); }));
     }
     handles_.push_back(loop_.onSignal(SIGHUP, [] {
-        // Settings come from flags and the environment, which do not change while it runs.
+        // Settings come from flags and the environment, which do not change while the process runs.
         log(LogLevel::Info, "reload-ignored");
     }));
     handles_.push_back(
@@ -179,18 +185,18 @@
     limits.bodyBytes_ = routes->limits().bodyBytes_;
     limits.headTimeout_ = routes->limits().headerTimeout_;
     limits.idleTimeout_ = routes->limits().idleTimeout_;
-    callers_.setLimits(limits);
+    callerServer_.setLimits(limits);
     updateState();
 }
 
-void ServeDaemon::applyNote(const HealthReportMessage &note)
+void ServeDaemon::applyHealthReport(const HealthReportMessage &report)
 {
-    const auto server = backends_.find(note.server_);
-    if (server == nullptr || server->listed().incarnation_ != note.incarnation_) {
+    const auto server = backends_.find(report.server_);
+    if (server == nullptr || server->listed().incarnation_ != report.incarnation_) {
         return;
     }
-    if (note.ejectionTime_ > Duration::zero()) {
-        server->health().applyReportedEjection(note.ejectionTime_, loop_.now());
+    if (report.ejectionTime_ > Duration::zero()) {
+        server->health().applyReportedEjection(report.ejectionTime_, loop_.now());
     } else {
         server->health().applyReportedRecovery(loop_.now());
     }
@@ -218,7 +224,7 @@
     for (const InstanceRecord &entry : directory_.remoteEntries()) {
         candidates.push_back({ entry.id_, entry.location_ });
     }
-    duties_.setCandidates(std::move(candidates));
+    serverRoles_.setCandidates(std::move(candidates));
     if (platform_.isInstanceReadEnded()) {
         platform_.setReaderIndex(directory_.readerIndex(loop_.now()));
     }
@@ -228,12 +234,13 @@
 {
     backends_.closeStaleConnections();
     metrics_.setBackendCount(static_cast<double>(backends_.size()));
-    metrics_.setConnectionCount(static_cast<double>(callers_.connectionCount()));
+    metrics_.setConnectionCount(static_cast<double>(callerServer_.connectionCount()));
     const double entries = static_cast<double>(directory_.domainCount())
             * static_cast<double>(directory_.entriesPerDomain());
-    const double others = static_cast<double>(directory_.all().size() + 1);
+    const double instances = static_cast<double>(directory_.all().size() + 1);
     const bool isEntry = directory_.isEntry(loop_.now());
-    forwarder_.setSlackPart(isEntry ? entrySlackPart / entries : (1.0 - entrySlackPart) / others);
+    forwarder_.setSlackPart(isEntry ? entrySlackPart / entries
+                                    : (1.0 - entrySlackPart) / instances);
 }
 
 void ServeDaemon::startStopping()
@@ -249,23 +256,24 @@
         loop_.stop();
         return;
     }
-    callers_.startClosing();
+    callerServer_.startClosing();
     handles_.push_back(loop_.callEvery(stopCheckPeriod, [this] { checkStopped(); }));
 }
 
 void ServeDaemon::checkStopped()
 {
-    const Duration since = loop_.now() - stoppingSince_;
-    if (since < settings_.addressKeepTime_ * addressKeepFactor) {
+    const Duration elapsed = loop_.now() - stoppingSince_;
+    if (elapsed < settings_.addressKeepTime_ * addressKeepFactor) {
         return;
     }
-    callers_.closeIdleConnections();
-    if (since >= settings_.addressKeepTime_ * addressKeepFactor + lateCallerTime) {
-        // Whoever still comes goes elsewhere; a request that is taken now could not end in time.
-        callers_.stopListening();
+    callerServer_.closeIdleConnections();
+    if (elapsed >= settings_.addressKeepTime_ * addressKeepFactor + lateCallerTime) {
+        // New callers must use another instance: a request accepted now might not end in time.
+        callerServer_.stopListening();
     }
-    const bool isDone = callers_.connectionCount() == 0 && forwarder_.activeRequestCount() == 0;
-    if (isDone || since > settings_.stopLimit_ - stopMargin) {
+    const bool isDone =
+            callerServer_.connectionCount() == 0 && forwarder_.activeRequestCount() == 0;
+    if (isDone || elapsed > settings_.stopLimit_ - stopMargin) {
         loop_.stop();
     }
 }
@@ -324,7 +332,7 @@
              { "entries", std::move(entries) },
              { "instances", directory_.all().size() + 1 },
              { "links", links_->dumpState() },
-             { "caller_connections", callers_.connectionCount() },
+             { "caller_connections", callerServer_.connectionCount() },
              { "running_requests", forwarder_.activeRequestCount() } };
 }
 
--- a/apps/quetzaldaled/serve/servedaemon.h
+++ b/apps/quetzaldaled/serve/servedaemon.h
@@ -1,4 +1,4 @@
-// One instance on the platform: all its parts on one event loop.
+// The daemon of an instance on the platform's store: all its parts on one event loop.
 #pragma once
 
 #include "platform/platformadapter.h"
@@ -15,9 +15,9 @@
 
 namespace qz {
 
-/// Serves callers, the directory, readiness and metrics until it is told to stop. A stop
-/// takes it out of the directory at once; it goes on serving whoever still comes, and ends
-/// when nobody has come for a while or its limit is near.
+/// Serves callers, the directory, readiness and metrics until it receives a signal to stop. A
+/// stopping instance leaves the directory at once, but serves callers that still use its
+/// address. It ends when these no longer have a connection, or shortly before its stop limit.
 /// @see Forwarder, PlatformAdapter, PresenceDriver
 class ServeDaemon
 {
@@ -26,7 +26,7 @@
     ServeDaemon(const ServeDaemon &) = delete;
     ServeDaemon &operator=(const ServeDaemon &) = delete;
 
-    /// Runs; the exit status of the process.
+    /// Runs until the instance has stopped. Returns the exit status of the process.
     int run();
 
 private:
@@ -37,7 +37,7 @@
     Result<void> listen();
     void watchSignals();
     void applyRoutes(const std::shared_ptr<const RoutingTable> &routes);
-    void applyNote(const HealthReportMessage &note);
+    void applyHealthReport(const HealthReportMessage &report);
     bool isReady() const;
     void updateState();
     void updateRoles();
@@ -59,15 +59,15 @@
     PresenceDriver presence_;
     ReplicaExchange replicas_;
     platform::PlatformAdapter platform_;
-    CallerServer callers_;
-    CallerServer ready_;
+    CallerServer callerServer_;
+    CallerServer readinessServer_;
     CallerServer directoryServer_;
     CallerServer metricsServer_;
-    ServerRoles duties_;
+    ServerRoles serverRoles_;
     bool areBackendsLoaded_ = false;
     bool isStopping_ = false;
     TimePoint stoppingSince_{};
-    std::vector<Timers::HandlePtr> handles_;
+    std::vector<Timers::HandlePtr> handles_; ///< Of timers and signal handlers.
 };
 
 } // namespace qz
--- a/apps/quetzaldaled/serve/servesettings.cpp
+++ b/apps/quetzaldaled/serve/servesettings.cpp
@@ -1,4 +1,4 @@
-// Reading and checking the settings.
+// Reads and checks the settings of an instance on the platform's store.
 #include "quetzaldaled/serve/servesettings.h"
 
 #include <sstream>
@@ -9,10 +9,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t leastKeyLength = 16;
-constexpr std::int64_t mostEntries = 64; ///< Callers take no more addresses.
+constexpr std::size_t minKeyLength = 16;
+constexpr std::int64_t maxEntriesPerDomain = 64; ///< Callers accept no more addresses.
 
-/// Reads "domain=region,domain=region".
+/// Reads the region of each failure domain from a list "domain=region,domain=region".
 std::map<std::string, std::string> readRegions(SettingsReader &reader)
 {
     std::map<std::string, std::string> regions;
@@ -20,7 +20,7 @@
     for (std::string entry; std::getline(list, entry, ',');) {
         const std::size_t equals = entry.find('=');
         if (equals == std::string::npos || equals == 0 || equals + 1 == entry.size()) {
-            reader.addProblem("failure-domains", "must be a list of domain=region");
+            reader.addProblem("failure-domains", "must be a comma-separated list of domain=region");
             return regions;
         }
         regions[entry.substr(0, equals)] = entry.substr(equals + 1);
@@ -28,6 +28,7 @@
     return regions;
 }
 
+/// Reads a number that is not negative.
 double readNumber(SettingsReader &reader, const std::string &name, const std::string &fallback)
 {
     const std::string text = reader.text(name, fallback);
@@ -66,12 +67,12 @@
     settings.peerAddress_ = reader.endpoint("peer-address");
     settings.storeAddress_ = reader.endpoint("store-address");
     settings.fleetKey_ = reader.text("fleet-key");
-    if (!settings.fleetKey_.empty() && settings.fleetKey_.size() < leastKeyLength) {
+    if (!settings.fleetKey_.empty() && settings.fleetKey_.size() < minKeyLength) {
         reader.addProblem("fleet-key", "must have at least 16 characters");
     }
     settings.processorShare_ = readNumber(reader, "processor-share", "1");
-    settings.entriesPerDomain_ =
-            static_cast<std::size_t>(reader.integer("entries-per-domain", 1, mostEntries, 2));
+    settings.entriesPerDomain_ = static_cast<std::size_t>(
+            reader.integer("entries-per-domain", 1, maxEntriesPerDomain, 2));
     settings.retryBudget_.ratio_ = readNumber(reader, "retry-budget-ratio", "0.2");
     settings.retryBudget_.slack_ = readNumber(reader, "retry-budget-slack", "10");
     settings.retryBudget_.window_ = toDuration(readNumber(reader, "retry-budget-window-s", "10"));
--- a/apps/quetzaldaled/serve/servesettings.h
+++ b/apps/quetzaldaled/serve/servesettings.h
@@ -1,4 +1,4 @@
-// What an instance on the platform is told at its start.
+// Settings of an instance on the platform's store.
 #pragma once
 
 #include "qz_core/ids/ids.h"
@@ -14,13 +14,13 @@
 
 namespace qz {
 
-/// Settings of `quetzaldaled serve`; each is a flag and an environment variable.
+/// Settings of `quetzaldaled serve`. Each comes from a flag or from an environment variable.
 /// @see SettingsReader, ServeDaemon
 struct ServeSettings
 {
     InstanceId instanceId_;
     Location location_;
-    std::map<std::string, std::string> regions_; ///< The region of each failure domain.
+    std::map<std::string, std::string> regions_; ///< Maps each failure domain to its region.
     Endpoint callerAddress_;
     Endpoint readyAddress_;
     Endpoint directoryAddress_;
@@ -28,17 +28,17 @@
     Endpoint peerAddress_;
     Endpoint storeAddress_;
     std::string fleetKey_;        ///< Never logged.
-    double processorShare_ = 1.0; ///< Of a core that this instance may use.
+    double processorShare_ = 1.0; ///< Part of a processor core that this instance may use.
     std::size_t entriesPerDomain_ = 2;
     RetryBudgetLimits retryBudget_;
-    Duration addressKeepTime_{}; ///< How long callers keep an answer of the directory.
-    Duration stopLimit_{};       ///< From the signal to the end of the process.
+    Duration addressKeepTime_{}; ///< How long callers may cache an answer of the directory.
+    Duration stopLimit_{};       ///< From the signal to stop to the end of the process.
     LogLevel logLevel_ = LogLevel::Info;
 
-    /// Reads all settings; problems are left in @p reader.
+    /// Reads and checks all settings. Invalid ones are reported by @p reader.
     static ServeSettings read(SettingsReader &reader);
 
-    /// Without the key.
+    /// Returns the settings without the fleet key.
     nlohmann::json toJson() const;
 };
 
--- a/apps/quetzaldaled/tests/daemonsettingstest.cpp
+++ b/apps/quetzaldaled/tests/daemonsettingstest.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-qz::SettingsReader::Values makeGoodFlags()
+qz::SettingsReader::Values makeValidFlags()
 {
     return { { "instance-id", "i0" },
              { "region", "alex" },
@@ -28,37 +28,37 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(goodSettingsHaveNoProblems)
+BOOST_AUTO_TEST_CASE(validSettingsHaveNoProblems)
 {
-    BOOST_TEST(problemsOf(makeGoodFlags()).empty());
+    BOOST_TEST(problemsOf(makeValidFlags()).empty());
 }
 
-BOOST_AUTO_TEST_CASE(missingSettingsAreAllNamed)
+BOOST_AUTO_TEST_CASE(allMissingSettingsAreReported)
 {
     BOOST_TEST(problemsOf({}, {}).size() == 8U);
 }
 
-BOOST_AUTO_TEST_CASE(contradictionsAreProblems)
+BOOST_AUTO_TEST_CASE(contradictorySettingsAreReported)
 {
-    auto flags = makeGoodFlags();
+    auto flags = makeValidFlags();
     flags["peer-address"] = flags["caller-address"];
     flags["drain-grace-ms"] = "500";
-    BOOST_TEST(problemsOf(flags).size()
-               == 3U); // Addresses; gates' grace and keep time above the grace.
+    // The equal addresses, and the grace of the gates and the keep time above the drain grace.
+    BOOST_TEST(problemsOf(flags).size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(shortSecretsAreRefusedAndNeverShown)
+BOOST_AUTO_TEST_CASE(shortSecretsAreRejectedAndNotShown)
 {
-    const auto problems = problemsOf(makeGoodFlags(),
+    const auto problems = problemsOf(makeValidFlags(),
                                      { { "QUETZALDALE_FLEET_KEY", "hunter2" },
                                        { "QUETZALDALE_OPERATOR_TOKEN", "0123456789abcdef" } });
     BOOST_REQUIRE(problems.size() == 1U);
     BOOST_TEST(problems.front().find("hunter2") == std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(printedSettingsHoldNoSecrets)
+BOOST_AUTO_TEST_CASE(printedSettingsContainNoSecrets)
 {
-    qz::SettingsReader reader(makeGoodFlags(), secrets);
+    qz::SettingsReader reader(makeValidFlags(), secrets);
     const auto settings = qz::DaemonSettings::read(reader);
     BOOST_TEST(settings.toJson().dump().find("0123456789abcdef") == std::string::npos);
 }
--- a/apps/quetzaldaled/tests/rulesmessagestest.cpp
+++ b/apps/quetzaldaled/tests/rulesmessagestest.cpp
@@ -1,9 +1,9 @@
-// Tests of the rules' messages.
+// Tests of the encoding of the rules' messages.
 #include "quetzaldaled/rulesmessages.h"
 
 #include <boost/test/unit_test.hpp>
 
-BOOST_AUTO_TEST_CASE(anAnswerReadsBackAsSent)
+BOOST_AUTO_TEST_CASE(rulesAnswerRoundTrips)
 {
     qz::RulesAnswer answer;
     answer.requestId_ = 7;
@@ -29,7 +29,7 @@
     BOOST_TEST(read.objects_.at("h") == "content");
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerWithABrokenHeadIsRefused)
+BOOST_AUTO_TEST_CASE(rulesAnswerWithAMalformedHeadIsRejected)
 {
     qz::RulesAnswerMessage message;
     message.head_ = "{";
--- a/apps/quetzaldaled/tests/servepathtest.cpp
+++ b/apps/quetzaldaled/tests/servepathtest.cpp
@@ -1,4 +1,4 @@
-// Tests of instances on the platform as processes of their own, before a store stand-in.
+// Tests of `quetzaldaled serve` processes with a fake store and a raw backend server.
 #include "platform/platformnames.h"
 #include "qz_http/stream/httpcaller.h"
 
@@ -32,7 +32,7 @@
 "Version":"v","Zone":"d","Slots":4},"Status":{"State":"ready","Sequence":1,"ColdRemainingS":0}})";
 }
 
-/// An instance and where it listens.
+/// The process of an instance, and the addresses at which it listens.
 struct Instance
 {
     Instance(const std::string &name, const qz::Endpoint &store, const std::string &output)
@@ -60,7 +60,7 @@
     DaemonProcess process_;
 };
 
-/// A store, one backend server that answers after a while, and some instances.
+/// A fake store, one backend server that answers after a delay, and some instances.
 class Fixture
 {
 public:
@@ -68,7 +68,7 @@
         : store_(loop_)
         , backend_(loop_, [this](bufferevent *stream, int reads) {
             backendReads_ = reads;
-            answers_.push_back(loop_.callAfter(answerTime_, [stream] {
+            answers_.push_back(loop_.callAfter(answerDelay_, [stream] {
                 write(stream,
                       "HTTP/1.1 200 OK\r\nX-Quetzaldale-Attempt-Id: 1\r\n"
                       "X-Quetzaldale-Response-Seal: s\r\nContent-Length: 2\r\n\r\nok");
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The status of a call, 0 for none, and its body.
+    /// Sends a GET request. Returns the status, or 0 if there is no answer, and the body.
     std::pair<int, std::string> get(const qz::Endpoint &endpoint, const std::string &target)
     {
         qz::HttpCaller caller(loop_, endpoint, 500ms, 2s);
@@ -105,8 +105,8 @@
         return result;
     }
 
-    /// The status of a request of a caller.
-    int ask(const qz::Endpoint &endpoint, const std::string &target)
+    /// Sends a caller's request. Returns the status, or 0 if there is no answer.
+    int requestStatus(const qz::Endpoint &endpoint, const std::string &target)
     {
         RawClient client(loop_, endpoint);
         client.send("GET " + target
@@ -116,6 +116,7 @@
         return client.received().size() < 12 ? 0 : std::stoi(client.received().substr(9, 3));
     }
 
+    /// Runs the loop until the instance is ready. Returns false if that takes longer than @p limit.
     bool awaitReady(const Instance &instance, qz::Duration limit = 5s)
     {
         const auto end = loop_.now() + limit;
@@ -128,7 +129,7 @@
         return false;
     }
 
-    /// Runs the loop until the process has ended; the time that it took.
+    /// Runs the loop until the process has ended or @p limit has passed. Returns the elapsed time.
     qz::Duration awaitEnd(Instance &instance, qz::Duration limit)
     {
         const auto begin = loop_.now();
@@ -140,13 +141,14 @@
 
     qz::EventLoop loop_;
     FakeStore store_;
-    qz::Duration answerTime_ = 1ms;
-    int backendReads_ = 0; ///< Requests that the backend server has got.
+    qz::Duration answerDelay_ = 1ms; ///< Of the backend server.
+    int backendReads_ = 0;           ///< Number of requests that the backend server has received.
     std::vector<qz::Timers::HandlePtr> answers_;
     RawServer backend_;
     std::vector<std::unique_ptr<Instance>> instances_;
 };
 
+/// Returns how often @p part occurs in @p text.
 std::size_t countOf(const std::string &text, const std::string &part)
 {
     std::size_t count = 0;
@@ -158,38 +160,38 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(instancesServeAndFollowTheConfiguration)
+BOOST_AUTO_TEST_CASE(instancesServeAndApplyConfigurationChanges)
 {
     Fixture fixture(3);
     for (const auto &instance : fixture.instances_) {
         BOOST_REQUIRE(fixture.awaitReady(*instance));
     }
-    fixture.loop_.runFor(1s); // Until they have heard each other.
+    fixture.loop_.runFor(1s); // Until the instances have exchanged heartbeats.
     for (const auto &instance : fixture.instances_) {
         const auto [status, body] =
                 fixture.get(instance->directory_, "/v1/resolve?Name=h&Region=r&Zone=d");
         BOOST_TEST(status == 200);
         BOOST_TEST(countOf(body, "127.0.0.1:") == 2);
-        BOOST_TEST(fixture.ask(instance->caller_, "/a/x") == 200);
-        BOOST_TEST(fixture.ask(instance->caller_, "/b/x") == 404);
+        BOOST_TEST(fixture.requestStatus(instance->caller_, "/a/x") == 200);
+        BOOST_TEST(fixture.requestStatus(instance->caller_, "/b/x") == 404);
     }
     fixture.store_.put(operatorTable, configKey, makeConfig("00000002", "/b/"));
     fixture.loop_.runFor(2s);
     for (const auto &instance : fixture.instances_) {
-        BOOST_TEST(fixture.ask(instance->caller_, "/b/x") == 200);
-        BOOST_TEST(fixture.ask(instance->caller_, "/a/x") == 404);
+        BOOST_TEST(fixture.requestStatus(instance->caller_, "/b/x") == 200);
+        BOOST_TEST(fixture.requestStatus(instance->caller_, "/a/x") == 404);
         const auto metrics = fixture.get(instance->metrics_, "/metrics").second;
         BOOST_TEST(countOf(metrics, "qz_config_version 2") == 1);
     }
 }
 
-BOOST_AUTO_TEST_CASE(aPlannedStopCutsNothingAndEndsSoon)
+BOOST_AUTO_TEST_CASE(gracefulStopCompletesRequestsInFlightAndEndsInTime)
 {
     Fixture fixture(2);
     Instance &stopped = *fixture.instances_[0];
     BOOST_REQUIRE(fixture.awaitReady(stopped));
     BOOST_REQUIRE(fixture.awaitReady(*fixture.instances_[1]));
-    fixture.answerTime_ = 1500ms;
+    fixture.answerDelay_ = 1500ms;
     RawClient client(fixture.loop_, stopped.caller_);
     client.send("GET /a/x HTTP/1.1\r\nHost: h\r\nX-Quetzaldale-Attempt-Id: 1\r\n\r\n");
     fixture.loop_.runFor(200ms);
@@ -200,21 +202,22 @@
             fixture.get(fixture.instances_[1]->directory_, "/v1/resolve?Name=h&Region=r&Zone=d")
                     .second;
     BOOST_TEST(countOf(names, qz::toString(stopped.caller_)) == 0);
-    // Callers that still have its address are served.
-    fixture.answerTime_ = 1ms;
-    BOOST_TEST(fixture.ask(stopped.caller_, "/a/y") == 200);
-    const qz::Duration took = fixture.awaitEnd(stopped, 6s);
+    // Callers that still use the address of the stopping instance are served.
+    fixture.answerDelay_ = 1ms;
+    BOOST_TEST(fixture.requestStatus(stopped.caller_, "/a/y") == 200);
+    const qz::Duration stopTime = fixture.awaitEnd(stopped, 6s);
     BOOST_TEST(client.received().substr(0, 12) == "HTTP/1.1 200");
     BOOST_TEST(stopped.process_.exitStatus() == 0);
-    BOOST_CHECK(took < 4s);
+    BOOST_CHECK(stopTime < 4s);
 }
 
-BOOST_AUTO_TEST_CASE(callersThatDoNotStopComingAreTurnedAwayBeforeAPlannedStopWouldCutThem)
+// Guards against a stop that accepts new callers until its limit and then cuts their requests.
+BOOST_AUTO_TEST_CASE(stoppingInstanceRefusesLateCallersInsteadOfCuttingThem)
 {
     Fixture fixture(1);
     Instance &stopped = *fixture.instances_[0];
     BOOST_REQUIRE(fixture.awaitReady(stopped));
-    fixture.answerTime_ = 800ms;
+    fixture.answerDelay_ = 800ms;
     stopped.process_.send(SIGTERM);
     std::vector<std::unique_ptr<RawClient>> clients;
     const auto sending = fixture.loop_.callEvery(100ms, [&] {
@@ -224,7 +227,7 @@
     fixture.awaitEnd(stopped, 7s);
     int answered = 0;
     for (const auto &client : clients) {
-        // Answered, or never connected: none was taken and cut.
+        // Each request is answered or never accepted; none is accepted and then cut.
         answered += client->received().empty() ? 0 : 1;
     }
     BOOST_TEST(stopped.process_.exitStatus() == 0);
@@ -232,11 +235,11 @@
     BOOST_TEST(fixture.backendReads_ == answered);
 }
 
-BOOST_AUTO_TEST_CASE(anInstanceThatStartsWhileTheStoreIsAwayIsServedByItsNeighbours)
+BOOST_AUTO_TEST_CASE(instanceThatStartsDuringAStoreOutageGetsItsStateFromItsNeighbours)
 {
     Fixture fixture(1);
     BOOST_REQUIRE(fixture.awaitReady(*fixture.instances_[0]));
-    // The row of the late one is there from its life before.
+    // The first run of this instance registers it in the store.
     fixture.instances_.push_back(
             std::make_unique<Instance>("late", fixture.store_.endpoint(), "/dev/null"));
     Instance &late = *fixture.instances_[1];
@@ -246,7 +249,7 @@
     late.process_.send(SIGKILL);
     fixture.awaitEnd(late, 2s);
     fixture.store_.setFault(FakeStore::Fault::Refuses);
-    auto again = std::make_unique<DaemonProcess>(
+    auto restarted = std::make_unique<DaemonProcess>(
             QZ_DAEMON_PATH,
             std::vector<std::string>{ "serve", "--instance-id=late", "--region=r",
                                       "--failure-domain=d", "--failure-domains=d=r",
@@ -258,21 +261,22 @@
                                       "--store-address=" + toString(fixture.store_.endpoint()) },
             std::vector<std::string>{ "QUETZALDALE_FLEET_KEY=a key of this test" }, "/dev/null");
     BOOST_TEST(fixture.awaitReady(late, 6s));
-    BOOST_TEST(fixture.ask(caller, "/a/x") == 200);
+    BOOST_TEST(fixture.requestStatus(caller, "/a/x") == 200);
 }
 
-BOOST_AUTO_TEST_CASE(anOutputThatTakesNothingDelaysNoRequest)
+// Guards against logging that blocks requests when the log output cannot be written.
+BOOST_AUTO_TEST_CASE(unwritableLogOutputDoesNotDelayRequests)
 {
     Fixture fixture(1, "/dev/full");
     BOOST_REQUIRE(fixture.awaitReady(*fixture.instances_[0]));
     const auto begin = fixture.loop_.now();
     for (int i = 0; i < 100; ++i) {
-        BOOST_TEST(fixture.ask(fixture.instances_[0]->caller_, "/a/x") == 200);
+        BOOST_TEST(fixture.requestStatus(fixture.instances_[0]->caller_, "/a/x") == 200);
     }
     BOOST_CHECK(fixture.loop_.now() - begin < 5s);
 }
 
-BOOST_AUTO_TEST_CASE(badSettingsAreReportedTogetherAndNothingStarts)
+BOOST_AUTO_TEST_CASE(invalidSettingsPreventTheStart)
 {
     DaemonProcess process(QZ_DAEMON_PATH, { "serve", "--retry-budget-ratio=much" }, {},
                           "/dev/null");
