--- a/apps/quetzaldaled/daemon.cpp
+++ b/apps/quetzaldaled/daemon.cpp
@@ -34,23 +34,24 @@
     , incarnation_(makeRandomId())
     , random_(std::random_device{}())
     , platform_(loop_, settings_.platformAddress_, settings_.platformTimeout_)
-    , view_(makeSelf())
+    , fleetState_(makeSelf())
     , links_(makeLinks())
     , membership_(makeMembership())
     , membershipDriver_({ *membership_, *links_, platform_, loop_, loop_ })
-    , rules_({ loop_, platform_, platform_, *links_, view_ }, incarnation_, settings_.rulesLimit_)
+    , rules_({ loop_, platform_, platform_, *links_, fleetState_ }, incarnation_,
+             settings_.rulesLimit_)
     , claims_(makeClaims())
-    , gates_(loop_, view_.directory())
+    , gates_(loop_, fleetState_.directory())
     , dispatcher_(loop_, settings_.instanceId_, *links_, gates_)
     , retries_(RetryTokenLimits{}, loop_.now())
     , journal_(journalSize)
-    , entry_({ loop_, view_, dispatcher_, *claims_, digests_, retries_, chooser_, random_, journal_,
-               metrics_ },
+    , entry_({ loop_, fleetState_, dispatcher_, *claims_, loadReports_, retries_, chooser_, random_,
+               journal_, metrics_ },
              settings_.addressKeepTime_)
-    , operators_(settings_.operatorToken_, view_, journal_, metrics_)
+    , operators_(settings_.operatorToken_, fleetState_, journal_, metrics_)
     , server_(loop_, makeServerLimits(settings_),
               [this](const std::shared_ptr<HttpExchange> &exchange) {
-                  if (OperatorService::isOwnPath(exchange->request().target_)) {
+                  if (OperatorService::isOperatorPath(exchange->request().target_)) {
                       operators_.handle(exchange);
                   } else {
                       entry_.handle(exchange);
@@ -58,7 +59,7 @@
               })
     , drain_(loop_, makeDrainTimes(settings_), makeDrainSteps())
 {
-    operators_.setDump([this] { return dumpState(); });
+    operators_.setDumpProvider([this] { return dumpState(); });
     operators_.setRulesHandler([this](const auto &exchange) { rules_.handleRules(exchange); });
     operators_.setStatusHandler([this](const auto &exchange) { rules_.handleStatus(exchange); });
 }
@@ -134,7 +135,7 @@
     membershipDriver_.setListingListener(
             [this](const InstanceListing &listing) { applyListing(listing); });
     dispatcher_.setLinkLostListener(
-            [this](const InstanceId & /*peer*/) { membershipDriver_.noteLinkLost(); });
+            [this](const InstanceId & /*peer*/) { membershipDriver_.handleLinkLost(); });
     membershipDriver_.start();
 }
 
@@ -150,14 +151,14 @@
 
 void Daemon::applyMembers()
 {
-    view_.setMembers(membership_->members());
+    fleetState_.setMembers(membership_->members());
     rules_.setMembers(membership_->members());
     metrics_.setMemberCount(membership_->members().size());
 }
 
 void Daemon::applyListing(const InstanceListing &listing)
 {
-    view_.setListing(listing.backendServers_);
+    fleetState_.setListing(listing.backendServers_);
     rules_.setListed(listing);
     gates_.applyDirectory();
     if (membership_->isListedLeaving()) {
@@ -167,8 +168,8 @@
 
 void Daemon::applyRules()
 {
-    appliedRules_ = view_.rulesVersion();
-    gates_.setRanks(view_.rules()->ranks());
+    appliedRules_ = fleetState_.rulesVersion();
+    gates_.setRanks(fleetState_.rules()->ranks());
     gates_.applyDirectory();
     membershipDriver_.setRulesVersion(appliedRules_);
     metrics_.setRulesVersion(appliedRules_);
@@ -176,7 +177,7 @@
 
 void Daemon::tick()
 {
-    if (view_.rulesVersion() != appliedRules_) {
+    if (fleetState_.rulesVersion() != appliedRules_) {
         applyRules();
     }
     gates_.tick();
@@ -186,8 +187,8 @@
 {
     DrainSteps steps;
     steps.leave_ = [this] {
-        view_.setLeaving();
-        membershipDriver_.leave();
+        fleetState_.setLeaving();
+        membershipDriver_.startLeaving();
         server_.startClosing();
     };
     steps.closeGates_ = [this] { gates_.close(); };
@@ -195,7 +196,7 @@
     steps.inFlight_ = [this] { return inFlight(); };
     steps.end_ = [this](int exitStatus) {
         exitStatus_ = exitStatus;
-        membershipDriver_.end();
+        membershipDriver_.stop();
         // The loop runs for one more period so that the last messages are sent.
         handles_.push_back(loop_.callAfter(tickPeriod, [this] {
             server_.closeIdleConnections();
@@ -229,7 +230,7 @@
     return { { "instance", settings_.instanceId_.value() },
              { "incarnation", incarnation_ },
              { "settings", settings_.toJson() },
-             { "leaving", view_.isLeaving() },
+             { "leaving", fleetState_.isLeaving() },
              { "rules", rules_.dumpState() },
              { "membership", membership_->dumpState(loop_.now()) },
              { "links", links_->dumpState() },
--- a/apps/quetzaldaled/daemon.h
+++ b/apps/quetzaldaled/daemon.h
@@ -49,7 +49,7 @@
     EventLoop loop_;
     std::mt19937_64 random_;
     PlatformClient platform_;
-    WorkingView view_;
+    FleetState fleetState_;
     std::unique_ptr<PeerLinks> links_;
     std::unique_ptr<Membership> membership_;
     MembershipDriver membershipDriver_;
@@ -57,7 +57,7 @@
     std::unique_ptr<ClaimClient> claims_;
     GateSet gates_;
     GateDispatcher dispatcher_;
-    DigestBook digests_;
+    GateLoadReports loadReports_;
     RetryBudget retries_;
     ServerChooser chooser_;
     RequestJournal journal_;
--- a/apps/quetzaldaled/rulesadapter.cpp
+++ b/apps/quetzaldaled/rulesadapter.cpp
@@ -44,7 +44,7 @@
     RulesSpreadSettings settings;
     settings.inForceLimit_ = inForceLimit;
     RulesService::Builder builder;
-    builder.setSelf(makeVoterId(parts.view_.self().id_, incarnation_));
+    builder.setSelf(makeVoterId(parts.fleetState_.self().id_, incarnation_));
     builder.setTable(parts.table_);
     builder.setObjects(parts.objects_);
     builder.setClock(parts.loop_);
@@ -62,14 +62,14 @@
                              [this](const InstanceId &from, std::string_view payload) {
                                  handleAnswer(from, payload);
                              });
-    parts_.view_.setInForceTest([this] { return service_->inForce().has_value(); });
+    parts_.fleetState_.setInForceCheck([this] { return service_->inForce().has_value(); });
 }
 
 void RulesAdapter::setMembers(const std::vector<Member> &members)
 {
     std::vector<VoterId> voters;
     for (const Member &member : members) {
-        const bool isOther = member.id_ != parts_.view_.self().id_;
+        const bool isOther = member.id_ != parts_.fleetState_.self().id_;
         if (isOther && member.state_ == MemberState::Live && !member.incarnation_.empty()) {
             voters.push_back(makeVoterId(member.id_, member.incarnation_));
         }
@@ -122,7 +122,7 @@
 void RulesAdapter::adopt(const RulesRevision &revision)
 {
     const RulesVersion version = revision.head_.stamp_.version_;
-    parts_.view_.adoptRules(version, revision.rules_);
+    parts_.fleetState_.adoptRules(version, revision.rules_);
     log(LogLevel::Info, "rules-adopted",
         { { "version", version }, { "hash", revision.head_.hash_ } });
 }
@@ -152,9 +152,9 @@
 nlohmann::json RulesAdapter::dumpState() const
 {
     auto state = operations_->describe();
-    state["instance"] = parts_.view_.self().id_.value();
+    state["instance"] = parts_.fleetState_.self().id_.value();
     // The version by which requests are classified at this time.
-    state["rules_version"] = parts_.view_.rulesVersion();
+    state["rules_version"] = parts_.fleetState_.rulesVersion();
     return state;
 }
 
--- a/apps/quetzaldaled/rulesadapter.h
+++ b/apps/quetzaldaled/rulesadapter.h
@@ -3,7 +3,7 @@
 
 #include "qz_fleet/links/peerlinks.h"
 #include "qz_http/server/httpexchange.h"
-#include "qz_proxy/view/workingview.h"
+#include "qz_proxy/state/fleetstate.h"
 #include "qz_rules/operators/rulesoperations.h"
 #include "qz_rules/spread/rulesservice.h"
 
@@ -13,7 +13,7 @@
 
 namespace qz {
 
-/// Connects a RulesService to the links, the WorkingView and the operators' endpoints.
+/// Connects a RulesService to the links, the FleetState and the operators' endpoints.
 class RulesAdapter
 {
 public:
@@ -23,7 +23,7 @@
         Table &table_;
         ObjectStore &objects_;
         PeerLinks &links_;
-        WorkingView &view_;
+        FleetState &fleetState_;
     };
 
     /// The rules are no longer in force if they could not be confirmed for @p inForceLimit.
--- a/packages/qz_fleet/membership/gossipmessage.cpp
+++ b/packages/qz_fleet/membership/gossipmessage.cpp
@@ -5,13 +5,13 @@
 
 namespace qz {
 
-bool isPlausible(const GossipMessage &message)
+bool isValid(const GossipMessage &message)
 {
     constexpr std::size_t maxIdBytes = 256;
-    const auto isGood = [](const MemberUpdate &update) { return isPlausible(update); };
+    const auto isGood = [](const MemberUpdate &update) { return isValid(update); };
     return message.kind_ < gossipKindCount && message.subject_.value().size() <= maxIdBytes
-            && message.updates_.size() <= maxGossipUpdates && isPlausible(message.sender_)
-            && message.sender_.isHeard()
+            && message.updates_.size() <= maxGossipUpdates && isValid(message.sender_)
+            && message.sender_.isSelfReported()
             && std::all_of(message.updates_.begin(), message.updates_.end(), isGood);
 }
 
--- a/packages/qz_fleet/membership/gossipmessage.h
+++ b/packages/qz_fleet/membership/gossipmessage.h
@@ -24,13 +24,13 @@
     std::uint64_t sequence_ = 0; ///< Chosen by who probes; an Ack repeats it.
     InstanceId subject_;         ///< Whom to probe, or who has answered; empty if it is the sender.
     MemberUpdate sender_;
-    bool hasHeardReceiver_ = false;  ///< The sender has heard the receiver a short while ago.
-    std::uint64_t rulesVersion_ = 0; ///< In force at the sender.
-    std::uint64_t viewDigest_ = 0;   ///< Equal if both know the same of the same members.
-    std::uint32_t memberCount_ = 0;  ///< Live and leaving members that the sender knows.
+    bool hasHeardFromReceiver_ = false; ///< The sender has heard the receiver a short while ago.
+    std::uint64_t rulesVersion_ = 0;    ///< In force at the sender.
+    std::uint64_t viewDigest_ = 0;      ///< Equal if both know the same of the same members.
+    std::uint32_t memberCount_ = 0;     ///< Live and leaving members that the sender knows.
     std::vector<MemberUpdate> updates_;
 
-    MSGPACK_DEFINE(kind_, sequence_, subject_, sender_, hasHeardReceiver_, rulesVersion_,
+    MSGPACK_DEFINE(kind_, sequence_, subject_, sender_, hasHeardFromReceiver_, rulesVersion_,
                    viewDigest_, memberCount_, updates_)
 
     GossipKind kind() const { return static_cast<GossipKind>(kind_); }
@@ -38,6 +38,6 @@
 };
 
 /// False if a received message has a value out of its range.
-bool isPlausible(const GossipMessage &message);
+bool isValid(const GossipMessage &message);
 
 } // namespace qz
--- a/packages/qz_fleet/membership/gossipqueue.cpp
+++ b/packages/qz_fleet/membership/gossipqueue.cpp
@@ -6,14 +6,14 @@
 
 namespace qz {
 
-void GossipQueue::put(const InstanceId &member, int transmissions)
+void GossipQueue::add(const InstanceId &member, int transmissions)
 {
     if (transmissions > 0) {
         entries_[member] = Entry{ 0, transmissions };
     }
 }
 
-std::vector<InstanceId> GossipQueue::take(std::size_t count)
+std::vector<InstanceId> GossipQueue::selectNext(std::size_t count)
 {
     std::vector<std::pair<int, InstanceId>> order;
     order.reserve(entries_.size());
--- a/packages/qz_fleet/membership/gossipqueue.h
+++ b/packages/qz_fleet/membership/gossipqueue.h
@@ -15,10 +15,10 @@
 {
 public:
     /// Tells of @p member anew, @p transmissions times from now on.
-    void put(const InstanceId &member, int transmissions);
+    void add(const InstanceId &member, int transmissions);
 
     /// Up to @p count members to tell in one message; counts as told once.
-    std::vector<InstanceId> take(std::size_t count);
+    std::vector<InstanceId> selectNext(std::size_t count);
 
     void remove(const InstanceId &member) { entries_.erase(member); }
     std::size_t size() const { return entries_.size(); }
--- a/packages/qz_fleet/membership/membership.cpp
+++ b/packages/qz_fleet/membership/membership.cpp
@@ -74,7 +74,7 @@
     forgetOld(now);
     if (isPromptDue_ && now >= nextPrompt_) {
         isPromptDue_ = false;
-        nextPrompt_ = now + options_.promptPeriod_;
+        nextPrompt_ = now + options_.earlyProbePeriod_;
         prober_.probeSoon(now);
     }
     if (table_.self().isDead()) {
@@ -93,7 +93,7 @@
                                          TimePoint now)
 {
     Outgoing out;
-    if (!isPlausible(message) || message.sender_.id_ != from || table_.self().isDead()) {
+    if (!isValid(message) || message.sender_.id_ != from || table_.self().isDead()) {
         return out;
     }
     takeContact(from, message, now);
@@ -128,24 +128,24 @@
     refresh(now);
 }
 
-void Membership::noteUnsent(const InstanceId &peer, TimePoint now)
+void Membership::handleSendFailure(const InstanceId &peer, TimePoint now)
 {
-    prober_.skipDirect(peer, now);
+    prober_.skipDirectProbe(peer, now);
 }
 
-void Membership::noteLinkLost()
+void Membership::handleLinkLost()
 {
     isPromptDue_ = true;
 }
 
-void Membership::leave(TimePoint now)
+void Membership::startLeaving(TimePoint now)
 {
     table_.leave();
     spread(table_.self().id_);
     refresh(now);
 }
 
-Membership::Outgoing Membership::end(TimePoint now)
+Membership::Outgoing Membership::stop(TimePoint now)
 {
     constexpr std::uint64_t noSequence = 0;
     Outgoing out;
@@ -188,7 +188,7 @@
 bool Membership::isCutOff(TimePoint now) const
 {
     const bool knowsOthers = members_.size() > 1;
-    return knowsOthers && now - lastExchange_ > options_.cutOffLimit_;
+    return knowsOthers && now - lastExchange_ > options_.cutOffTimeout_;
 }
 
 nlohmann::json Membership::dumpState(TimePoint now) const
@@ -244,7 +244,7 @@
         return;
     }
     accusedSince_.try_emplace(round.subject_, now);
-    if (!table_.accuse(round.subject_, table_.self().id_)) {
+    if (!table_.addSuspicion(round.subject_, table_.self().id_)) {
         return;
     }
     accusedSince_[round.subject_] = now; // The first suspicion of this version.
@@ -268,8 +268,9 @@
             entry = accusedSince_.erase(entry);
             continue;
         }
-        const bool isConfirmed = suspect->accusers_.size() >= accusersToConfirm;
-        const Duration limit = isConfirmed ? options_.confirmedSuspicion_ : options_.loneSuspicion_;
+        const bool isConfirmed = suspect->reporters_.size() >= accusersToConfirm;
+        const Duration limit = isConfirmed ? options_.confirmedSuspicionTimeout_
+                                           : options_.unconfirmedSuspicionTimeout_;
         if (now - entry->second >= limit && !isCutOff(now)) {
             table_.declareDead(entry->first, now);
             spread(entry->first);
@@ -301,7 +302,7 @@
 
 void Membership::noticePause(TimePoint now)
 {
-    if (now - lastTick_ > options_.pauseLimit_) {
+    if (now - lastTick_ > options_.maxTickGap_) {
         prober_.reset(now);
         accusedSince_.clear();
         relays_.clear();
@@ -315,7 +316,7 @@
         return;
     }
     nextCleaning_ = now + cleaningPeriod;
-    table_.expire(now, options_.deadRetention_);
+    table_.removeExpired(now, options_.deadRetention_);
     for (auto relay = relays_.begin(); relay != relays_.end();) {
         relay = now >= relay->second.expiresAt_ ? relays_.erase(relay) : std::next(relay);
     }
@@ -332,23 +333,23 @@
                                message.memberCount_,
                                message.sender_.incarnation_,
                                message.sender_.version_,
-                               message.hasHeardReceiver_ };
-    if (message.hasHeardReceiver_) {
+                               message.hasHeardFromReceiver_ };
+    if (message.hasHeardFromReceiver_) {
         lastExchange_ = now;
     }
     if (message.rulesVersion_ > highestRules_.version_) {
-        highestRules_ = RulesSighting{ message.rulesVersion_, from };
+        highestRules_ = AnnouncedRulesVersion{ message.rulesVersion_, from };
     }
 }
 
 void Membership::takeUpdate(MemberUpdate update, TimePoint now)
 {
-    const bool isOthersVerdict = update.isDead() && !update.hasEndedItself();
+    const bool isOthersVerdict = update.isDead() && !update.hasAnnouncedStop();
     if (isOthersVerdict && hasHeard(update.id_, now) && contacts_[update.id_].hasHeardUs_) {
         update.setVerdict(MemberVerdict::Suspect); // Reached a moment ago: let it refute.
     }
     const InstanceId id = update.id_;
-    if (table_.merge(update, now) == MergeResult::News) {
+    if (table_.merge(update, now) == MergeResult::ChangedGossipNow) {
         spread(id);
     }
 }
@@ -391,7 +392,7 @@
     message.setKind(kind);
     message.sequence_ = sequence;
     message.sender_ = table_.self();
-    message.hasHeardReceiver_ = hasHeard(to, now);
+    message.hasHeardFromReceiver_ = hasHeard(to, now);
     message.rulesVersion_ = rulesVersion_;
     message.viewDigest_ = table_.digest();
     message.memberCount_ = static_cast<std::uint32_t>(members_.size());
@@ -406,7 +407,7 @@
     // receiver can set that right.
     const MemberUpdate *receiver = table_.find(to);
     if (receiver != nullptr
-        && (receiver->isHeard() || receiver->verdict() != MemberVerdict::Alive)) {
+        && (receiver->isSelfReported() || receiver->verdict() != MemberVerdict::Alive)) {
         const auto contact = contacts_.find(to);
         const bool isSure = contact != contacts_.end()
                 && receiver->verdict() == MemberVerdict::Alive
@@ -416,15 +417,15 @@
             updates.push_back(*receiver);
         }
     }
-    for (const InstanceId &id : queue_.take(options_.maxUpdates_)) {
+    for (const InstanceId &id : queue_.selectNext(options_.maxUpdatesPerMessage_)) {
         const MemberUpdate *update = table_.find(id);
         if (update != nullptr && id != to) {
             updates.push_back(*update);
         }
     }
-    const std::size_t limit = std::max(options_.maxUpdates_, updates.size());
+    const std::size_t limit = std::max(options_.maxUpdatesPerMessage_, updates.size());
     const std::size_t room = std::min(limit - updates.size(), syncCount(to));
-    for (MemberUpdate &update : table_.nextInTurn(room)) {
+    for (MemberUpdate &update : table_.nextSyncUpdates(room)) {
         updates.push_back(std::move(update));
     }
     return updates;
@@ -437,13 +438,14 @@
         return 0;
     }
     const bool isSmall = contact->second.memberCount_ < members_.size();
-    return isSmall ? options_.maxUpdates_ : options_.syncUpdates_;
+    return isSmall ? options_.maxUpdatesPerMessage_ : options_.syncUpdatesPerMessage_;
 }
 
 bool Membership::hasHeard(const InstanceId &member, TimePoint now) const
 {
     const auto contact = contacts_.find(member);
-    return contact != contacts_.end() && now - contact->second.heardAt_ <= options_.heardLimit_;
+    return contact != contacts_.end()
+            && now - contact->second.heardAt_ <= options_.recentContactLimit_;
 }
 
 std::vector<InstanceId> Membership::helpersFor(const InstanceId &subject)
@@ -460,7 +462,7 @@
     candidates.erase(std::remove_if(candidates.begin(), candidates.end(), isUnfit),
                      candidates.end());
     std::shuffle(candidates.begin(), candidates.end(), random_);
-    candidates.resize(std::min(candidates.size(), options_.helperCount_));
+    candidates.resize(std::min(candidates.size(), options_.indirectProberCount_));
     return candidates;
 }
 
@@ -468,7 +470,7 @@
 {
     const int rings = static_cast<int>(options_.ringCount_);
     if (member != table_.self().id_) { // Its own state is in each message anyway.
-        queue_.put(member, transmissionsPerRing * rings);
+        queue_.add(member, transmissionsPerRing * rings);
     }
     isPromptDue_ = true;
 }
--- a/packages/qz_fleet/membership/membership.h
+++ b/packages/qz_fleet/membership/membership.h
@@ -22,18 +22,18 @@
 {
     std::size_t ringCount_ = 4; ///< Members that each one monitors.
     ProberOptions prober_;
-    std::size_t helperCount_ = 3;     ///< Asked to probe a member that does not answer.
-    int failuresBeforeSuspicion_ = 2; ///< Failed rounds in a row.
-    Duration confirmedSuspicion_ = std::chrono::milliseconds(1500); ///< By two accusers.
-    Duration loneSuspicion_ = std::chrono::seconds(6);              ///< By a single one.
-    Duration heardLimit_ = std::chrono::milliseconds(1500);         ///< How long "heard" holds.
-    Duration cutOffLimit_ = std::chrono::seconds(3);         ///< Without an exchange with anybody.
-    Duration pauseLimit_ = std::chrono::seconds(1);          ///< Between ticks; more was a pause.
-    Duration reconnectPeriod_ = std::chrono::seconds(5);     ///< Between probes of dead members.
-    Duration promptPeriod_ = std::chrono::milliseconds(250); ///< Between rounds for news.
+    std::size_t indirectProberCount_ = 3; ///< Asked to probe a member that does not answer.
+    int failuresBeforeSuspicion_ = 2;     ///< Failed rounds in a row.
+    Duration confirmedSuspicionTimeout_ = std::chrono::milliseconds(1500); ///< By two accusers.
+    Duration unconfirmedSuspicionTimeout_ = std::chrono::seconds(6);       ///< By a single one.
+    Duration recentContactLimit_ = std::chrono::milliseconds(1500); ///< How long "heard" holds.
+    Duration cutOffTimeout_ = std::chrono::seconds(3);   ///< Without an exchange with anybody.
+    Duration maxTickGap_ = std::chrono::seconds(1);      ///< Between ticks; more was a pause.
+    Duration reconnectPeriod_ = std::chrono::seconds(5); ///< Between probes of dead members.
+    Duration earlyProbePeriod_ = std::chrono::milliseconds(250); ///< Between rounds for news.
     Duration deadRetention_ = std::chrono::minutes(10);
-    std::size_t maxUpdates_ = 8;  ///< In one message.
-    std::size_t syncUpdates_ = 2; ///< Of these, for views that differ.
+    std::size_t maxUpdatesPerMessage_ = 8;  ///< In one message.
+    std::size_t syncUpdatesPerMessage_ = 2; ///< Of these, for views that differ.
 };
 
 /// A heartbeat to send.
@@ -44,7 +44,7 @@
 };
 
 /// The highest version of the rules that any heartbeat has told of.
-struct RulesSighting
+struct AnnouncedRulesVersion
 {
     RulesVersion version_ = 0;
     InstanceId instance_; ///< Who has it; empty if nobody but this instance spoke.
@@ -78,16 +78,16 @@
     void applyListing(const InstanceListing &listing, TimePoint now);
 
     /// The heartbeat to @p peer could not be sent.
-    void noteUnsent(const InstanceId &peer, TimePoint now);
+    void handleSendFailure(const InstanceId &peer, TimePoint now);
 
     /// The link to @p peer was lost: probes soon.
-    void noteLinkLost();
+    void handleLinkLost();
 
     /// This instance is leaving, from now to its end.
-    void leave(TimePoint now);
+    void startLeaving(TimePoint now);
 
     /// This instance ends: tells its neighbours, so that nobody has to find out.
-    Outgoing end(TimePoint now);
+    Outgoing stop(TimePoint now);
 
     /// The version in force here, to be told to others.
     void setRulesVersion(RulesVersion version);
@@ -110,7 +110,7 @@
     /// True if the platform wants this instance to leave.
     bool isListedLeaving() const { return table_.isListedLeaving(); }
 
-    const RulesSighting &highestRulesVersion() const { return highestRules_; }
+    const AnnouncedRulesVersion &highestRulesVersion() const { return highestRules_; }
 
     nlohmann::json dumpState(TimePoint now) const;
 
@@ -174,7 +174,7 @@
     std::map<InstanceId, TimePoint> accusedSince_; ///< By this instance.
     std::map<std::uint64_t, Relay> relays_;        ///< By the sequence of our own probe.
     RulesVersion rulesVersion_ = 0;
-    RulesSighting highestRules_;
+    AnnouncedRulesVersion highestRules_;
     TimePoint lastExchange_; ///< When somebody last told that it hears this instance.
     TimePoint lastTick_;
     TimePoint nextReconnect_;
--- a/packages/qz_fleet/membership/membershipdriver.cpp
+++ b/packages/qz_fleet/membership/membershipdriver.cpp
@@ -36,16 +36,16 @@
     publishChanges();
 }
 
-void MembershipDriver::end()
+void MembershipDriver::stop()
 {
     tickTimer_.reset();
     listTimer_.reset();
-    deliver(parts_.membership_.end(parts_.clock_.now()));
+    deliver(parts_.membership_.stop(parts_.clock_.now()));
 }
 
-void MembershipDriver::leave()
+void MembershipDriver::startLeaving()
 {
-    parts_.membership_.leave(parts_.clock_.now());
+    parts_.membership_.startLeaving(parts_.clock_.now());
     publishChanges();
 }
 
@@ -99,7 +99,7 @@
         const auto sent = parts_.links_.send(gossip.to_, MessageKind::MembershipGossip,
                                              packMessage(gossip.message_));
         if (sent.has_error()) {
-            parts_.membership_.noteUnsent(gossip.to_, parts_.clock_.now());
+            parts_.membership_.handleSendFailure(gossip.to_, parts_.clock_.now());
         }
     }
 }
--- a/packages/qz_fleet/membership/membershipdriver.h
+++ b/packages/qz_fleet/membership/membershipdriver.h
@@ -39,7 +39,7 @@
     void start();
 
     /// Tells the neighbours that this instance ends, and stops.
-    void end();
+    void stop();
 
     /// Called for each change of the members.
     void setChangeListener(ChangeListener listener) { changed_ = std::move(listener); }
@@ -48,10 +48,10 @@
     void setListingListener(ListingListener listener) { listed_ = std::move(listener); }
 
     /// To be called by the links' handler for lost links.
-    void noteLinkLost() { parts_.membership_.noteLinkLost(); }
+    void handleLinkLost() { parts_.membership_.handleLinkLost(); }
 
-    /// This instance is leaving; heartbeats go on until end().
-    void leave();
+    /// This instance is leaving; heartbeats go on until stop().
+    void startLeaving();
 
     void setRulesVersion(RulesVersion version) { parts_.membership_.setRulesVersion(version); }
 
--- a/packages/qz_fleet/membership/membertable.cpp
+++ b/packages/qz_fleet/membership/membertable.cpp
@@ -60,7 +60,7 @@
     : self_(std::move(self))
     , turn_(self_.id_) // Neighbours then tell each other of different members.
 {
-    assert(isPlausible(self_) && self_.isHeard());
+    assert(isValid(self_) && self_.isSelfReported());
     touch(self_.id_);
 }
 
@@ -74,7 +74,7 @@
 {
     self_.isLeaving_ = true;
     self_.setVerdict(MemberVerdict::Dead);
-    self_.accusers_ = { self_.id_ };
+    self_.reporters_ = { self_.id_ };
     touch(self_.id_);
 }
 
@@ -88,10 +88,10 @@
         return mergeUnknown(news);
     }
     Record &record = entry->second;
-    const bool wasHeard = record.update_.isHeard();
+    const bool wasHeard = record.update_.isSelfReported();
     const bool wasDead = record.update_.isDead();
     if (!mergeUpdate(record.update_, news)) {
-        return MergeResult::Known;
+        return MergeResult::Unchanged;
     }
     if (record.update_.isDead() && !wasDead) {
         record.deadSince_ = now;
@@ -99,7 +99,7 @@
     touch(news.id_);
     const bool isFirstWord = !wasHeard && !wasDead && !record.update_.isLeaving_
             && record.update_.verdict() == MemberVerdict::Alive;
-    return isFirstWord ? MergeResult::Background : MergeResult::News;
+    return isFirstWord ? MergeResult::ChangedSyncLater : MergeResult::ChangedGossipNow;
 }
 
 std::vector<InstanceId> MemberTable::applyListing(const InstanceListing &listing)
@@ -121,7 +121,7 @@
     return dropped;
 }
 
-bool MemberTable::accuse(const InstanceId &member, const InstanceId &accuser)
+bool MemberTable::addSuspicion(const InstanceId &member, const InstanceId &accuser)
 {
     const auto entry = records_.find(member);
     if (entry == records_.end() || entry->second.update_.isDead()) {
@@ -131,9 +131,9 @@
     const bool wasAlive = update.verdict() == MemberVerdict::Alive;
     if (wasAlive) {
         update.setVerdict(MemberVerdict::Suspect);
-        update.accusers_.clear();
+        update.reporters_.clear();
     }
-    const bool isNew = addAccuser(update, accuser);
+    const bool isNew = addReporter(update, accuser);
     if (isNew) {
         touch(member);
     }
@@ -152,13 +152,13 @@
     return true;
 }
 
-void MemberTable::expire(TimePoint now, Duration retention)
+void MemberTable::removeExpired(TimePoint now, Duration retention)
 {
     for (auto entry = records_.begin(); entry != records_.end();) {
         const Record &record = entry->second;
         const bool isOld = record.update_.isDead() && now - record.deadSince_ >= retention;
-        const bool isForgotten =
-                !record.isListed_ && !record.reported_ && (isOld || !record.update_.isHeard());
+        const bool isForgotten = !record.isListed_ && !record.reported_
+                && (isOld || !record.update_.isSelfReported());
         entry = isForgotten ? records_.erase(entry) : std::next(entry);
     }
 }
@@ -169,7 +169,7 @@
     return entry == records_.end() ? nullptr : &entry->second.update_;
 }
 
-std::vector<MemberUpdate> MemberTable::nextInTurn(std::size_t count)
+std::vector<MemberUpdate> MemberTable::nextSyncUpdates(std::size_t count)
 {
     std::vector<MemberUpdate> updates;
     auto entry = records_.upper_bound(turn_);
@@ -178,7 +178,7 @@
             entry = records_.begin();
         }
         turn_ = entry->first;
-        if (entry->second.update_.isHeard()) {
+        if (entry->second.update_.isSelfReported()) {
             updates.push_back(entry->second.update_);
         }
         ++entry;
@@ -226,25 +226,25 @@
 MergeResult MemberTable::mergeSelf(const MemberUpdate &news)
 {
     if (self_.isDead()) {
-        return MergeResult::Known;
+        return MergeResult::Unchanged;
     }
     const bool isAccused = isSameVersion(news, self_) && news.verdict() != MemberVerdict::Alive;
     if (!isAccused && !isNewer(news, self_)) {
-        return MergeResult::Known;
+        return MergeResult::Unchanged;
     }
     self_.version_ = news.version_ + 1;
     touch(self_.id_);
-    return MergeResult::News;
+    return MergeResult::ChangedGossipNow;
 }
 
 MergeResult MemberTable::mergeUnknown(const MemberUpdate &news)
 {
-    if (news.isDead() || !news.isHeard() || records_.size() >= maxMembers) {
-        return MergeResult::Known;
+    if (news.isDead() || !news.isSelfReported() || records_.size() >= maxMembers) {
+        return MergeResult::Unchanged;
     }
     records_[news.id_].update_ = news;
     touch(news.id_);
-    return MergeResult::News;
+    return MergeResult::ChangedGossipNow;
 }
 
 void MemberTable::applyListed(const ListedInstance &listed)
@@ -261,7 +261,7 @@
     record.isListed_ = true;
     record.isListedLeaving_ = isLeaving;
     touch(listed.id_);
-    if (record.update_.isHeard()) {
+    if (record.update_.isSelfReported()) {
         return;
     }
     record.update_.id_ = listed.id_;
@@ -279,7 +279,7 @@
     const MemberUpdate &update = isSelf ? self_ : entry->second.update_;
     std::uint64_t &hash = isSelf ? selfHash_ : entry->second.hash_;
     digest_ ^= hash;
-    hash = update.isHeard() && !update.isDead() ? hashOf(update) : 0;
+    hash = update.isSelfReported() && !update.isDead() ? hashOf(update) : 0;
     digest_ ^= hash;
 }
 
@@ -294,7 +294,7 @@
         return std::nullopt;
     }
     const Record &record = entry->second;
-    const bool isSpokenFor = record.isListed_ || record.update_.isHeard();
+    const bool isSpokenFor = record.isListed_ || record.update_.isSelfReported();
     if (!isSpokenFor || record.update_.isDead()) {
         return std::nullopt;
     }
--- a/packages/qz_fleet/membership/membertable.h
+++ b/packages/qz_fleet/membership/membertable.h
@@ -17,9 +17,9 @@
 
 /// What became of an update.
 enum class MergeResult {
-    Known,      ///< Nothing new.
-    Background, ///< New, and left to the comparison of views to spread.
-    News,       ///< New, and to be told to others at once.
+    Unchanged,        ///< Nothing new.
+    ChangedSyncLater, ///< New, and left to the comparison of views to spread.
+    ChangedGossipNow, ///< New, and to be told to others at once.
 };
 
 /// Merges the platform's list with the members' own word and the verdicts on them. A
@@ -46,19 +46,19 @@
     std::vector<InstanceId> applyListing(const InstanceListing &listing);
 
     /// Adds a suspicion by @p accuser. True if it is new.
-    bool accuse(const InstanceId &member, const InstanceId &accuser);
+    bool addSuspicion(const InstanceId &member, const InstanceId &accuser);
 
     /// Declares @p member dead. True if it was not.
     bool declareDead(const InstanceId &member, TimePoint now);
 
     /// Forgets dead members that are not listed after @p retention.
-    void expire(TimePoint now, Duration retention);
+    void removeExpired(TimePoint now, Duration retention);
 
     /// Null if nothing is known of @p member, or if it is this instance.
     const MemberUpdate *find(const InstanceId &member) const;
 
     /// The next @p count members after the last call, for the comparison of views.
-    std::vector<MemberUpdate> nextInTurn(std::size_t count);
+    std::vector<MemberUpdate> nextSyncUpdates(std::size_t count);
 
     std::vector<InstanceId> deadMembers() const;
 
@@ -98,7 +98,7 @@
     std::optional<Member> reportedSelf_;
     bool isListedLeaving_ = false;
     Records records_;              ///< Never holds this instance; at most maxMembers.
-    InstanceId turn_;              ///< Where nextInTurn() goes on.
+    InstanceId turn_;              ///< Where nextSyncUpdates() goes on.
     std::set<InstanceId> touched_; ///< Since the last takeChanges().
     std::uint64_t selfHash_ = 0;
     std::uint64_t digest_ = 0; ///< The exclusive or of selfHash_ and all hash_ of records_.
--- a/packages/qz_fleet/membership/memberupdate.cpp
+++ b/packages/qz_fleet/membership/memberupdate.cpp
@@ -31,12 +31,12 @@
     }
     if (news.verdict_ > known.verdict_) {
         known.verdict_ = news.verdict_;
-        known.accusers_ = news.accusers_;
+        known.reporters_ = news.reporters_;
         return true;
     }
     if (news.verdict_ == known.verdict_) {
-        for (const InstanceId &accuser : news.accusers_) {
-            hasChanged = addAccuser(known, accuser) || hasChanged;
+        for (const InstanceId &accuser : news.reporters_) {
+            hasChanged = addReporter(known, accuser) || hasChanged;
         }
     }
     return hasChanged;
@@ -57,19 +57,19 @@
     return "dead";
 }
 
-bool MemberUpdate::hasEndedItself() const
+bool MemberUpdate::hasAnnouncedStop() const
 {
-    return isDead() && accusers_.size() == 1 && accusers_.front() == id_;
+    return isDead() && reporters_.size() == 1 && reporters_.front() == id_;
 }
 
-bool isPlausible(const MemberUpdate &update)
+bool isValid(const MemberUpdate &update)
 {
     const auto isLong = [](const InstanceId &id) { return id.value().size() > maxIdBytes; };
     return !update.id_.isEmpty() && !isLong(update.id_) && update.incarnation_.size() <= maxIdBytes
             && update.verdict_ <= static_cast<std::uint8_t>(MemberVerdict::Dead)
             && isBounded(update.peerEndpoint_) && isBounded(update.callerEndpoint_)
-            && isBounded(update.location_) && update.accusers_.size() <= maxAccusers
-            && std::none_of(update.accusers_.begin(), update.accusers_.end(), isLong);
+            && isBounded(update.location_) && update.reporters_.size() <= maxReporters
+            && std::none_of(update.reporters_.begin(), update.reporters_.end(), isLong);
 }
 
 bool isNewer(const MemberUpdate &a, const MemberUpdate &b)
@@ -96,14 +96,14 @@
     return true;
 }
 
-bool addAccuser(MemberUpdate &update, const InstanceId &accuser)
+bool addReporter(MemberUpdate &update, const InstanceId &accuser)
 {
-    const auto &accusers = update.accusers_;
+    const auto &accusers = update.reporters_;
     const bool isKnown = std::find(accusers.begin(), accusers.end(), accuser) != accusers.end();
-    if (isKnown || accusers.size() >= maxAccusers) {
+    if (isKnown || accusers.size() >= maxReporters) {
         return false;
     }
-    update.accusers_.push_back(accuser);
+    update.reporters_.push_back(accuser);
     return true;
 }
 
--- a/packages/qz_fleet/membership/memberupdate.h
+++ b/packages/qz_fleet/membership/memberupdate.h
@@ -31,23 +31,23 @@
     Location location_;
     /// Who could not reach the member at this version. Names the member itself if it has
     /// ended by its own word.
-    std::vector<InstanceId> accusers_;
+    std::vector<InstanceId> reporters_;
 
     MSGPACK_DEFINE(id_, incarnation_, version_, verdict_, isLeaving_, peerEndpoint_,
-                   callerEndpoint_, location_, accusers_)
+                   callerEndpoint_, location_, reporters_)
 
     MemberVerdict verdict() const { return static_cast<MemberVerdict>(verdict_); }
     void setVerdict(MemberVerdict verdict) { verdict_ = static_cast<std::uint8_t>(verdict); }
     bool isDead() const { return verdict() == MemberVerdict::Dead; }
     /// True if the member itself has been heard, by whomever.
-    bool isHeard() const { return !incarnation_.empty(); }
-    bool hasEndedItself() const;
+    bool isSelfReported() const { return !incarnation_.empty(); }
+    bool hasAnnouncedStop() const;
 };
 
-constexpr std::size_t maxAccusers = 3;
+constexpr std::size_t maxReporters = 3;
 
 /// False if a received update has a value out of its range.
-bool isPlausible(const MemberUpdate &update);
+bool isValid(const MemberUpdate &update);
 
 /// True if @p a speaks of a later version or process than @p b.
 bool isNewer(const MemberUpdate &a, const MemberUpdate &b);
@@ -60,6 +60,6 @@
 bool mergeUpdate(MemberUpdate &known, const MemberUpdate &news);
 
 /// Adds @p accuser if there is room. True if it is new.
-bool addAccuser(MemberUpdate &update, const InstanceId &accuser);
+bool addReporter(MemberUpdate &update, const InstanceId &accuser);
 
 } // namespace qz
--- a/packages/qz_fleet/membership/prober.cpp
+++ b/packages/qz_fleet/membership/prober.cpp
@@ -51,7 +51,7 @@
     round.dueAt_ = std::max(now, round.startedAt_ + options_.period_);
 }
 
-void Prober::skipDirect(const InstanceId &subject, TimePoint now)
+void Prober::skipDirectProbe(const InstanceId &subject, TimePoint now)
 {
     const auto entry = rounds_.find(subject);
     if (entry != rounds_.end() && entry->second.phase_ == Phase::Direct) {
@@ -101,7 +101,7 @@
         return;
     case Phase::Direct:
         round.phase_ = Phase::Indirect;
-        round.dueAt_ = now + options_.indirectLimit_;
+        round.dueAt_ = now + options_.indirectProbeTimeout_;
         actions.emplace_back(IndirectProbe{ subject, round.sequence_ });
         return;
     case Phase::Indirect:
@@ -120,7 +120,7 @@
 {
     round.phase_ = Phase::Direct;
     round.startedAt_ = now;
-    round.dueAt_ = now + options_.directLimit_;
+    round.dueAt_ = now + options_.directProbeTimeout_;
     round.sequence_ = nextSequence();
     actions.emplace_back(DirectProbe{ subject, round.sequence_ });
 }
--- a/packages/qz_fleet/membership/prober.h
+++ b/packages/qz_fleet/membership/prober.h
@@ -14,9 +14,9 @@
 
 struct ProberOptions
 {
-    Duration period_ = std::chrono::seconds(1);               ///< Between two rounds that succeed.
-    Duration directLimit_ = std::chrono::milliseconds(300);   ///< Then others are asked.
-    Duration indirectLimit_ = std::chrono::milliseconds(400); ///< Then the round has failed.
+    Duration period_ = std::chrono::seconds(1); ///< Between two rounds that succeed.
+    Duration directProbeTimeout_ = std::chrono::milliseconds(300);   ///< Then others are asked.
+    Duration indirectProbeTimeout_ = std::chrono::milliseconds(400); ///< Then the round has failed.
 };
 
 /// Send a probe to the subject.
@@ -64,7 +64,7 @@
     void acknowledge(std::uint64_t sequence, const InstanceId &subject, TimePoint now);
 
     /// The direct probe could not be sent: others are asked with the next tick.
-    void skipDirect(const InstanceId &subject, TimePoint now);
+    void skipDirectProbe(const InstanceId &subject, TimePoint now);
 
     /// Begins a round with each idle subject at the next tick.
     void probeSoon(TimePoint now);
--- a/packages/qz_fleet/tests/fleetfuzztest.cpp
+++ b/packages/qz_fleet/tests/fleetfuzztest.cpp
@@ -68,7 +68,7 @@
     update.version_ = pick(random, 4);
     update.verdict_ = static_cast<std::uint8_t>(pick(random, 3));
     update.peerEndpoint_ = { "10.0.0.1", 7000 };
-    update.accusers_ = { qz::InstanceId("x") };
+    update.reporters_ = { qz::InstanceId("x") };
     return update;
 }
 
--- a/packages/qz_fleet/tests/membershipdrivertest.cpp
+++ b/packages/qz_fleet/tests/membershipdrivertest.cpp
@@ -49,7 +49,7 @@
             gone_ += change.kind_ == MemberChangeKind::Gone ? 1 : 0;
         });
         links_.links_->setLinkLostHandler(
-                [this](const qz::InstanceId &) { driver_->noteLinkLost(); });
+                [this](const qz::InstanceId &) { driver_->handleLinkLost(); });
         qz::ListedInstance listed;
         listed.id_ = self.id_;
         listed.peerEndpoint_ = self.peerEndpoint_;
@@ -88,9 +88,9 @@
     const auto see = [&](MemberState state) { return a.sees("c", state) && b.sees("c", state); };
     BOOST_TEST(qz::runUntil(loop, [&] { return see(MemberState::Live); }));
     list.isDown_ = true;
-    c->driver_->leave();
+    c->driver_->startLeaving();
     BOOST_TEST(qz::runUntil(loop, [&] { return see(MemberState::Leaving); }));
-    c->driver_->end();
+    c->driver_->stop();
     BOOST_TEST(qz::runUntil(loop, [&] { return a.gone_ == 1 && b.gone_ == 1; }));
     BOOST_TEST(a.membership_->members().size() == 2U);
     BOOST_TEST(a.membership_->dumpState(loop.now())["cut_off"] == false);
--- a/packages/qz_fleet/tests/fleetexchange.h
+++ b/packages/qz_fleet/tests/membershipsimulation.h
@@ -18,10 +18,10 @@
 namespace qz {
 
 /// Runs a fleet of memberships. Everything follows from the seed.
-class FleetExchange
+class MembershipSimulation
 {
 public:
-    using Cut = std::function<bool(std::size_t from, std::size_t to)>;
+    using LinkBlocker = std::function<bool(std::size_t from, std::size_t to)>;
 
     struct Node
     {
@@ -34,7 +34,7 @@
         std::uint64_t bytesSent_ = 0;
     };
 
-    FleetExchange(std::size_t count, std::uint64_t seed)
+    MembershipSimulation(std::size_t count, std::uint64_t seed)
         : random_(seed)
     {
         for (std::size_t i = 0; i < count; ++i) {
@@ -42,7 +42,7 @@
         }
         for (std::size_t i = 0; i < count; ++i) {
             start(i, "first");
-            giveList(i, listing());
+            deliverListing(i, listing());
         }
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Lets each node know every other one's own word, as after a long time together.
-    void introduceAll()
+    void exchangeSelfUpdates()
     {
         GossipMessage message;
         message.setKind(GossipKind::Ack);
@@ -107,7 +107,7 @@
 
     void kill(std::size_t index) { node(index).membership_.reset(); }
 
-    void giveList(std::size_t index, const InstanceListing &listing)
+    void deliverListing(std::size_t index, const InstanceListing &listing)
     {
         node(index).membership_->applyListing(listing, now());
         collect(index);
@@ -150,7 +150,7 @@
 
     /// How many running nodes other than @p about have it in the state that @p holds asks for.
     template<typename Predicate>
-    std::size_t countHolding(std::size_t about, Predicate holds) const
+    std::size_t countMatching(std::size_t about, Predicate holds) const
     {
         std::size_t count = 0;
         for (std::size_t i = 0; i < nodes_.size(); ++i) {
@@ -171,7 +171,7 @@
         return found != members.end() && found->id_ == nodes_[about]->id_ ? &*found : nullptr;
     }
 
-    std::size_t countOf(MemberChangeKind kind) const
+    std::size_t countChanges(MemberChangeKind kind) const
     {
         std::size_t count = 0;
         for (const auto &node : nodes_) {
@@ -192,8 +192,8 @@
     Node &node(std::size_t index) { return *nodes_.at(index); }
     std::size_t size() const { return nodes_.size(); }
     TimePoint now() const { return clock_.now(); }
-    void setLoss(double loss) { loss_ = loss; }
-    void setCut(Cut cut) { cut_ = std::move(cut); }
+    void setLossRate(double loss) { loss_ = loss; }
+    void setLinkBlocker(LinkBlocker cut) { cut_ = std::move(cut); }
 
 private:
     static constexpr Duration step = std::chrono::milliseconds(10);
@@ -277,7 +277,7 @@
     std::map<InstanceId, MemberUpdate> words_; ///< What each node last said of itself.
     std::multimap<TimePoint, Packet> packets_;
     double loss_ = 0;
-    Cut cut_;
+    LinkBlocker cut_;
     std::size_t steps_ = 0;
 };
 
--- a/packages/qz_fleet/tests/membershiptest.cpp
+++ b/packages/qz_fleet/tests/membershiptest.cpp
@@ -1,14 +1,14 @@
 // Tests of membership with many members under a manual clock.
-#include "fleetexchange.h"
+#include "membershipsimulation.h"
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
 
 using namespace std::chrono_literals;
-using qz::FleetExchange;
 using qz::Member;
 using qz::MemberChangeKind;
+using qz::MembershipSimulation;
 using qz::MemberState;
 
 namespace {
@@ -47,13 +47,13 @@
 
 /// Runs until all running nodes but @p about hold what @p holds asks for. Returns the time taken.
 template<typename Predicate>
-qz::Duration runUntilAllHold(FleetExchange &fleet, std::size_t about, Predicate holds,
+qz::Duration runUntilAllHold(MembershipSimulation &fleet, std::size_t about, Predicate holds,
                              qz::Duration limit)
 {
     const qz::TimePoint start = fleet.now();
-    const std::size_t others = fleet.countHolding(about, [](const Member *) { return true; });
-    fleet.run(limit, [&] { return fleet.countHolding(about, holds) == others; });
-    BOOST_TEST(fleet.countHolding(about, holds) == others);
+    const std::size_t others = fleet.countMatching(about, [](const Member *) { return true; });
+    fleet.run(limit, [&] { return fleet.countMatching(about, holds) == others; });
+    BOOST_TEST(fleet.countMatching(about, holds) == others);
     return fleet.now() - start;
 }
 
@@ -61,7 +61,7 @@
 
 BOOST_DATA_TEST_CASE(aKilledMemberIsGoneEverywhereWithinTenSeconds, sizes, size)
 {
-    FleetExchange fleet(static_cast<std::size_t>(size), seed);
+    MembershipSimulation fleet(static_cast<std::size_t>(size), seed);
     fleet.run(10s);
     for (std::size_t victim = 1; victim <= 3; ++victim) {
         fleet.kill(victim);
@@ -69,22 +69,22 @@
         BOOST_TEST_MESSAGE("members " << size << ": killed one gone everywhere after "
                                       << seconds(time) << " s");
     }
-    BOOST_TEST(fleet.countOf(MemberChangeKind::Gone)
+    BOOST_TEST(fleet.countChanges(MemberChangeKind::Gone)
                == static_cast<std::size_t>(size - 1 + size - 2 + size - 3));
 }
 
 BOOST_DATA_TEST_CASE(noLiveMemberIsRemovedUnderTenPercentLoss, sizes, size)
 {
-    FleetExchange fleet(static_cast<std::size_t>(size), seed);
-    fleet.setLoss(0.1);
+    MembershipSimulation fleet(static_cast<std::size_t>(size), seed);
+    fleet.setLossRate(0.1);
     fleet.run(size <= 32 ? 600s : 100s);
-    BOOST_TEST(fleet.countOf(MemberChangeKind::Gone) == 0U);
+    BOOST_TEST(fleet.countChanges(MemberChangeKind::Gone) == 0U);
 }
 
 BOOST_DATA_TEST_CASE(aKilledMemberIsFoundUnderTenPercentLoss, sizes, size)
 {
-    FleetExchange fleet(static_cast<std::size_t>(size), seed);
-    fleet.setLoss(0.1);
+    MembershipSimulation fleet(static_cast<std::size_t>(size), seed);
+    fleet.setLossRate(0.1);
     fleet.run(10s);
     fleet.kill(5);
     const auto time = runUntilAllHold(fleet, 5, isGone, 15s);
@@ -94,21 +94,22 @@
 
 BOOST_DATA_TEST_CASE(aOneWayCutBetweenTwoRemovesNobody, sizes, size)
 {
-    FleetExchange fleet(static_cast<std::size_t>(size), seed);
+    MembershipSimulation fleet(static_cast<std::size_t>(size), seed);
     // Every member is cut from its next one, in one direction.
     const auto count = fleet.size();
-    fleet.setCut([count](std::size_t from, std::size_t to) { return (from + 1) % count == to; });
+    fleet.setLinkBlocker(
+            [count](std::size_t from, std::size_t to) { return (from + 1) % count == to; });
     fleet.run(60s);
-    BOOST_TEST(fleet.countOf(MemberChangeKind::Gone) == 0U);
+    BOOST_TEST(fleet.countChanges(MemberChangeKind::Gone) == 0U);
 }
 
 BOOST_DATA_TEST_CASE(aMemberThatNobodyHearsIsGoneAndKnowsThatItIsCutOff, sizes, size)
 {
     for (const bool isDeaf : { false, true }) {
-        FleetExchange fleet(static_cast<std::size_t>(size), seed);
+        MembershipSimulation fleet(static_cast<std::size_t>(size), seed);
         fleet.run(10s);
         fleet.clearChanges();
-        fleet.setCut(
+        fleet.setLinkBlocker(
                 [isDeaf](std::size_t from, std::size_t to) { return (isDeaf ? to : from) == 7; });
         runUntilAllHold(fleet, 7, isGone, 10s);
         fleet.run(10s);
@@ -116,7 +117,7 @@
         BOOST_TEST(!fleet.node(8).membership_->isCutOff(fleet.now()));
         BOOST_TEST(countAccused(*fleet.node(7).membership_, fleet.now()) == 0U);
         BOOST_TEST(fleet.node(7).membership_->members().size() == fleet.size());
-        fleet.setCut(nullptr);
+        fleet.setLinkBlocker(nullptr);
         const auto time = runUntilAllHold(fleet, 7, isPresent, 30s);
         BOOST_TEST_MESSAGE("members " << size << ": back everywhere after " << seconds(time)
                                       << " s");
@@ -126,11 +127,11 @@
 
 BOOST_DATA_TEST_CASE(leavingAndEndingAreKnownEverywhereWithinSeconds, sizes, size)
 {
-    FleetExchange fleet(static_cast<std::size_t>(size), seed);
+    MembershipSimulation fleet(static_cast<std::size_t>(size), seed);
     fleet.run(10s);
-    fleet.node(3).membership_->leave(fleet.now());
+    fleet.node(3).membership_->startLeaving(fleet.now());
     const auto leaving = runUntilAllHold(fleet, 3, isLeaving, 3s);
-    fleet.send(3, fleet.node(3).membership_->end(fleet.now()));
+    fleet.send(3, fleet.node(3).membership_->stop(fleet.now()));
     fleet.run(10ms);
     fleet.kill(3);
     const auto gone = runUntilAllHold(fleet, 3, isGone, 3s);
@@ -140,7 +141,7 @@
 
 BOOST_DATA_TEST_CASE(aRestartedMemberIsKnownByItsNewIncarnation, sizes, size)
 {
-    FleetExchange fleet(static_cast<std::size_t>(size), seed);
+    MembershipSimulation fleet(static_cast<std::size_t>(size), seed);
     const auto hasIncarnation = [](const std::string &process) {
         return [process](const Member *member) {
             return member != nullptr && member->incarnation_ == process + "-instance-4";
@@ -151,33 +152,33 @@
     BOOST_TEST_MESSAGE("members " << size << ": first incarnation known after " << seconds(first)
                                   << " s");
     fleet.start(4, "another"); // Sorts before "first": only its version can say that it is newer.
-    fleet.giveList(4, fleet.listing());
+    fleet.deliverListing(4, fleet.listing());
     const auto time = runUntilAllHold(fleet, 4, hasIncarnation("another"), 10s);
     BOOST_TEST_MESSAGE("members " << size << ": restart known after " << seconds(time) << " s");
-    BOOST_TEST(fleet.countOf(MemberChangeKind::Restarted) == others);
-    BOOST_TEST(fleet.countOf(MemberChangeKind::Gone) == 0U);
+    BOOST_TEST(fleet.countChanges(MemberChangeKind::Restarted) == others);
+    BOOST_TEST(fleet.countChanges(MemberChangeKind::Gone) == 0U);
 }
 
 BOOST_DATA_TEST_CASE(aNewMemberIsKnownEverywhereWhileTheListOfTheOthersIsOut, sizes, size)
 {
-    FleetExchange fleet(static_cast<std::size_t>(size), seed);
+    MembershipSimulation fleet(static_cast<std::size_t>(size), seed);
     fleet.run(10s);
     const std::size_t joiner = fleet.addNode();
     fleet.start(joiner, "first");
-    fleet.giveList(joiner, fleet.listing());
+    fleet.deliverListing(joiner, fleet.listing());
     const auto time = runUntilAllHold(fleet, joiner, isPresent, 10s);
     BOOST_TEST_MESSAGE("members " << size << ": new member known after " << seconds(time) << " s");
 }
 
 BOOST_DATA_TEST_CASE(aNewMemberThatKnowsOneOtherLearnsAll, sizes, size)
 {
-    FleetExchange fleet(static_cast<std::size_t>(size), seed);
+    MembershipSimulation fleet(static_cast<std::size_t>(size), seed);
     fleet.run(60s);
     const std::size_t joiner = fleet.addNode();
     fleet.start(joiner, "first");
     qz::InstanceListing listing;
     listing.instances_ = { fleet.listing().instances_.front() };
-    fleet.giveList(joiner, listing);
+    fleet.deliverListing(joiner, listing);
     const qz::TimePoint start = fleet.now();
     const auto knowsAll = [&] {
         return fleet.node(joiner).membership_->members().size() == fleet.size();
@@ -190,13 +191,13 @@
 
 BOOST_DATA_TEST_CASE(twoHalvesFindEachOtherAgain, sizes, size)
 {
-    FleetExchange fleet(static_cast<std::size_t>(size), seed);
+    MembershipSimulation fleet(static_cast<std::size_t>(size), seed);
     fleet.run(10s);
-    fleet.setCut([](std::size_t from, std::size_t to) { return from % 2 != to % 2; });
+    fleet.setLinkBlocker([](std::size_t from, std::size_t to) { return from % 2 != to % 2; });
     fleet.run(30s);
     const auto half = fleet.size() / 2;
     BOOST_TEST(fleet.node(0).membership_->members().size() == half);
-    fleet.setCut(nullptr);
+    fleet.setLinkBlocker(nullptr);
     const qz::TimePoint start = fleet.now();
     const auto isWhole = [&] {
         for (std::size_t i = 0; i < fleet.size(); ++i) {
@@ -214,63 +215,63 @@
 
 BOOST_AUTO_TEST_CASE(aPausedMemberDeclaresNobodyDeadWhenItGoesOn)
 {
-    FleetExchange fleet(32, seed);
+    MembershipSimulation fleet(32, seed);
     fleet.run(10s);
     fleet.node(6).isPaused_ = true;
     fleet.run(30s);
-    BOOST_TEST(fleet.countHolding(6, isGone) == 31U);
+    BOOST_TEST(fleet.countMatching(6, isGone) == 31U);
     fleet.clearChanges();
     fleet.node(6).isPaused_ = false;
     BOOST_TEST(fleet.node(6).membership_->isCutOff(fleet.now()));
     runUntilAllHold(fleet, 6, isPresent, 20s);
-    BOOST_TEST(fleet.countOf(MemberChangeKind::Gone) == 0U);
+    BOOST_TEST(fleet.countChanges(MemberChangeKind::Gone) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(aStaleListDoesNotBringADeadMemberBack)
 {
-    FleetExchange fleet(32, seed);
+    MembershipSimulation fleet(32, seed);
     fleet.run(10s);
     fleet.kill(9);
     runUntilAllHold(fleet, 9, isGone, 10s);
     for (std::size_t i = 0; i < fleet.size(); ++i) {
         if (i != 9) {
-            fleet.giveList(i, fleet.listing());
+            fleet.deliverListing(i, fleet.listing());
         }
     }
-    BOOST_TEST(fleet.countHolding(9, isGone) == 31U); // Not even until it is found again.
+    BOOST_TEST(fleet.countMatching(9, isGone) == 31U); // Not even until it is found again.
     fleet.run(5s);
-    BOOST_TEST(fleet.countHolding(9, isGone) == 31U);
+    BOOST_TEST(fleet.countMatching(9, isGone) == 31U);
 }
 
 BOOST_AUTO_TEST_CASE(theListAndOwnProbesTogetherSettleAFleetOfTwo)
 {
-    FleetExchange fleet(2, seed);
+    MembershipSimulation fleet(2, seed);
     fleet.run(10s);
     fleet.kill(1);
     fleet.run(20s);
-    BOOST_TEST(fleet.countHolding(1, isPresent) == 1U); // It may be us: nothing is declared.
+    BOOST_TEST(fleet.countMatching(1, isPresent) == 1U); // It may be us: nothing is declared.
     BOOST_TEST(fleet.node(0).membership_->isCutOff(fleet.now()));
     qz::InstanceListing listing = fleet.listing();
     listing.instances_.pop_back();
-    fleet.giveList(0, listing);
-    BOOST_TEST(fleet.countHolding(1, isGone) == 1U);
+    fleet.deliverListing(0, listing);
+    BOOST_TEST(fleet.countMatching(1, isGone) == 1U);
     BOOST_TEST(!fleet.node(0).membership_->isCutOff(fleet.now()));
 }
 
 BOOST_AUTO_TEST_CASE(aMemberListedAsLeavingGetsNoDuties)
 {
-    FleetExchange fleet(2, seed);
+    MembershipSimulation fleet(2, seed);
     qz::InstanceListing listing = fleet.listing();
     listing.instances_.back().state_ = qz::ListedState::Leaving;
-    fleet.giveList(0, listing);
-    fleet.giveList(1, listing);
+    fleet.deliverListing(0, listing);
+    fleet.deliverListing(1, listing);
     BOOST_TEST(fleet.node(0).membership_->liveMembers().size() == 1U);
     BOOST_TEST(fleet.node(1).membership_->isListedLeaving());
 }
 
 BOOST_AUTO_TEST_CASE(theHighestRulesVersionIsToldToAll)
 {
-    FleetExchange fleet(200, seed);
+    MembershipSimulation fleet(200, seed);
     fleet.run(10s);
     fleet.node(11).membership_->setRulesVersion(42);
     const qz::TimePoint start = fleet.now();
@@ -293,11 +294,11 @@
 BOOST_AUTO_TEST_CASE(theCostOfAMemberDoesNotGrowWithTheFleet)
 {
     constexpr double maxBytesPerSecond = 12000;
-    std::map<std::size_t, FleetExchange::Cost> costs;
+    std::map<std::size_t, MembershipSimulation::Cost> costs;
     for (const std::size_t size : { 8U, 32U, 200U, 1000U }) {
-        FleetExchange fleet(size, seed);
+        MembershipSimulation fleet(size, seed);
         const auto first = fleet.measure(10s);
-        fleet.introduceAll();
+        fleet.exchangeSelfUpdates();
         fleet.run(3s);
         const auto steady = fleet.measure(10s);
         BOOST_TEST_MESSAGE("members "
--- a/packages/qz_once/batching/claimbatcher.cpp
+++ b/packages/qz_once/batching/claimbatcher.cpp
@@ -16,18 +16,18 @@
     , clock_(clock)
     , limits_(limits)
 {
-    assert(limits_.batchSize_ > 0 && limits_.commitsInFlight_ > 0);
+    assert(limits_.maxBatchSize_ > 0 && limits_.maxCommitsInFlight_ > 0);
 }
 
 void ClaimBatcher::write(TableWrite write, RowWriteDone done)
 {
-    if (queue_.size() >= limits_.queueSize_) {
+    if (queue_.size() >= limits_.maxQueuedWrites_) {
         done(failure(ErrorKind::StoreUnavailable, "too many claims wait for the table"));
         return;
     }
     ++writeCount_;
     queue_.push_back(Entry{ std::move(write), std::move(done) });
-    if (queue_.size() == limits_.batchSize_) {
+    if (queue_.size() == limits_.maxBatchSize_) {
         timer_.reset(); // No need to wait for more.
     }
     schedule();
@@ -35,7 +35,7 @@
 
 void ClaimBatcher::schedule()
 {
-    if (timer_ || queue_.empty() || inFlight_ >= limits_.commitsInFlight_) {
+    if (timer_ || queue_.empty() || inFlight_ >= limits_.maxCommitsInFlight_) {
         return;
     }
     timer_ = timers_.callAfter(delayBeforeCommit(), [this] {
@@ -48,8 +48,8 @@
 Duration ClaimBatcher::delayBeforeCommit() const
 {
     const Duration untilAllowed = nextCommitAt_ - clock_.now();
-    const bool isFull = queue_.size() >= limits_.batchSize_;
-    return std::max(untilAllowed, isFull ? Duration::zero() : limits_.wait_);
+    const bool isFull = queue_.size() >= limits_.maxBatchSize_;
+    return std::max(untilAllowed, isFull ? Duration::zero() : limits_.maxBatchDelay_);
 }
 
 void ClaimBatcher::commitGroup()
@@ -62,7 +62,7 @@
     }
     ++inFlight_;
     ++commitCount_;
-    nextCommitAt_ = clock_.now() + limits_.commitInterval_;
+    nextCommitAt_ = clock_.now() + limits_.minCommitInterval_;
     table_.commit(std::move(writes),
                   [this, group, alive = std::weak_ptr<bool>(isAlive_)](const auto &result) {
                       if (!alive.expired()) {
@@ -76,7 +76,7 @@
     Group group;
     std::deque<Entry> later;
     std::set<std::string> keys;
-    while (!queue_.empty() && group.size() < limits_.batchSize_) {
+    while (!queue_.empty() && group.size() < limits_.maxBatchSize_) {
         Entry entry = std::move(queue_.front());
         queue_.pop_front();
         if (keys.insert(entry.write_.key_).second) {
--- a/packages/qz_once/batching/claimbatcher.h
+++ b/packages/qz_once/batching/claimbatcher.h
@@ -14,11 +14,11 @@
 /// Bounds of a ClaimBatcher.
 struct ClaimBatchLimits
 {
-    std::size_t batchSize_ = 64;                              ///< Rows in one transaction.
-    Duration wait_ = std::chrono::milliseconds(2);            ///< For more rows, when idle.
-    Duration commitInterval_ = std::chrono::milliseconds(20); ///< Least, between two commits.
-    std::size_t commitsInFlight_ = 4;
-    std::size_t queueSize_ = 4096; ///< Rows waiting; one more is refused.
+    std::size_t maxBatchSize_ = 64;                              ///< Rows in one transaction.
+    Duration maxBatchDelay_ = std::chrono::milliseconds(2);      ///< For more rows, when idle.
+    Duration minCommitInterval_ = std::chrono::milliseconds(20); ///< Least, between two commits.
+    std::size_t maxCommitsInFlight_ = 4;
+    std::size_t maxQueuedWrites_ = 4096; ///< Rows waiting; one more is refused.
 };
 
 /// Groups writes, so that claims cost the table few transactions: a group is committed when
@@ -62,7 +62,7 @@
     const Clock &clock_;
     const ClaimBatchLimits limits_;
     std::deque<Entry> queue_;  ///< Writes of one row stay in the order of their calls.
-    std::size_t inFlight_ = 0; ///< At most limits_.commitsInFlight_.
+    std::size_t inFlight_ = 0; ///< At most limits_.maxCommitsInFlight_.
     TimePoint nextCommitAt_{};
     std::size_t commitCount_ = 0;
     std::size_t writeCount_ = 0;
--- a/packages/qz_once/claims/claimattempt.cpp
+++ b/packages/qz_once/claims/claimattempt.cpp
@@ -17,7 +17,7 @@
 } // namespace
 
 ClaimAttempt::ClaimAttempt(Context context, WorkspaceId workspace, IdempotencyKey key, ClaimRow row,
-                           EndDone done)
+                           EndHandler done)
     : context_(std::move(context))
     , workspace_(std::move(workspace))
     , key_(std::move(key))
@@ -35,13 +35,13 @@
 
 void ClaimAttempt::writeRow(RowVersion expectedVersion)
 {
-    const bool isLate = context_.clock_.now() - startedAt_ >= context_.limits_.answerLimit_;
-    if (isLate || tries_ >= context_.limits_.tries_) {
+    const bool isLate = context_.clock_.now() - startedAt_ >= context_.limits_.retryTimeLimit_;
+    if (isLate || maxWrites_ >= context_.limits_.maxWrites_) {
         fail(mayBeWritten_ ? ErrorKind::ClaimUndecided : ErrorKind::ClaimStoreUnavailable,
              "the table did not take the claim in time");
         return;
     }
-    ++tries_;
+    ++maxWrites_;
     context_.write_(TableWrite{ rowKey_, expectedVersion, toJson(row_) },
                     [self = shared_from_this()](const auto &outcome) { self->onWritten(outcome); });
 }
--- a/packages/qz_once/claims/claimattempt.h
+++ b/packages/qz_once/claims/claimattempt.h
@@ -36,13 +36,13 @@
     struct End
     {
         Result<ClaimGrant> result_;
-        bool isRowLeft_ = false; ///< No grant, but the row may hold the token, now or later.
+        bool mayLeaveRow_ = false; ///< No grant, but the row may hold the token, now or later.
     };
-    using EndDone = std::function<void(End)>;
+    using EndHandler = std::function<void(End)>;
 
     /// @p row is the content to be written, with the fresh token.
     ClaimAttempt(Context context, WorkspaceId workspace, IdempotencyKey key, ClaimRow row,
-                 EndDone done);
+                 EndHandler done);
 
     void start();
 
@@ -61,9 +61,9 @@
     const IdempotencyKey key_;
     const std::string rowKey_;
     const ClaimRow row_;
-    EndDone done_; ///< Empty once the attempt has ended.
+    EndHandler done_; ///< Empty once the attempt has ended.
     TimePoint startedAt_{};
-    int tries_ = 0;
+    int maxWrites_ = 0;
     bool mayBeWritten_ = false;
 };
 
--- a/packages/qz_once/claims/claimclient.cpp
+++ b/packages/qz_once/claims/claimclient.cpp
@@ -82,12 +82,12 @@
                                TableWrite write,
                                RowWriteDone
                                        done) { batcher->write(std::move(write), std::move(done)); })
-    , updater_(table_, write_, limits_.settlesInFlight_, limits_.settleQueue_)
-    , keptRows_(limits_.keptRows_)
-    , deadRows_(limits_.settleQueue_)
+    , updater_(table_, write_, limits_.maxUpdatesInFlight_, limits_.maxQueuedUpdates_)
+    , pendingErasures_(limits_.pendingErasures_)
+    , deadRows_(limits_.maxQueuedUpdates_)
     , tick_(builder.timers_->callEvery(tickPeriod, [this] { onTick(); }))
 {
-    updater_.refill(limits_.updatesPerSecond_);
+    updater_.resetQuota(limits_.updatesPerSecond_);
 }
 
 void ClaimClient::claim(const WorkspaceId &workspace, const IdempotencyKey &key, Duration keep,
@@ -95,8 +95,8 @@
 {
     ++counts_.claims_;
     const AttemptToken token(makeRandomId());
-    const KeptRow row{ claimRowKey(workspace, key), token };
-    const Duration leastKeep = limits_.sendWindow_ * leastKeepInSendWindows;
+    const ClaimRowRef row{ claimRowKey(workspace, key), token };
+    const Duration leastKeep = limits_.sendWindow_ * minRetentionInSendWindows;
     const TimePoint eraseAt = clock_.now() + std::max(keep, leastKeep);
     auto onEnd = [this, row, eraseAt, done = std::move(done),
                   alive = std::weak_ptr<bool>(isAlive_)](const ClaimAttempt::End &end) {
@@ -110,14 +110,14 @@
     attempt->start();
 }
 
-void ClaimClient::onAttemptEnded(const KeptRow &row, TimePoint eraseAt,
+void ClaimClient::onAttemptEnded(const ClaimRowRef &row, TimePoint eraseAt,
                                  const ClaimAttempt::End &end, const ClaimDone &done)
 {
     count(end.result_);
-    if (end.result_.has_value() || end.isRowLeft_) {
-        keptRows_.add(row, eraseAt);
+    if (end.result_.has_value() || end.mayLeaveRow_) {
+        pendingErasures_.add(row, eraseAt);
     }
-    if (end.isRowLeft_) {
+    if (end.mayLeaveRow_) {
         releaseDeadRowLater(row);
     }
     done(end.result_);
@@ -136,7 +136,7 @@
     }
 }
 
-void ClaimClient::releaseDeadRowLater(const KeptRow &row)
+void ClaimClient::releaseDeadRowLater(const ClaimRowRef &row)
 {
     for (const Duration delay : deadRowLooks) {
         deadRows_.add(row, clock_.now() + delay);
@@ -160,14 +160,14 @@
 
 void ClaimClient::onTick()
 {
-    updater_.refill(limits_.updatesPerSecond_);
+    updater_.resetQuota(limits_.updatesPerSecond_);
     const TimePoint now = clock_.now();
     while (const auto dead = deadRows_.takeDue(now)) {
         updater_.add(ClaimRowUpdate{ dead->rowKey_, dead->token_,
                                      makeRow(dead->token_, ClaimState::Released) });
     }
-    for (std::size_t i = 0; i < limits_.erasesPerSecond_; ++i) {
-        const auto kept = keptRows_.takeDue(now);
+    for (std::size_t i = 0; i < limits_.erasuresPerSecond_; ++i) {
+        const auto kept = pendingErasures_.takeDue(now);
         if (!kept) {
             return;
         }
@@ -179,8 +179,8 @@
 {
     Counts counts = counts_;
     counts.droppedUpdates_ = updater_.droppedCount();
-    counts.keptRows_ = keptRows_.size();
-    counts.forgottenRows_ = keptRows_.forgottenCount();
+    counts.pendingErasures_ = pendingErasures_.size();
+    counts.unscheduledErasures_ = pendingErasures_.droppedCount();
     return counts;
 }
 
--- a/packages/qz_once/claims/claimclient.h
+++ b/packages/qz_once/claims/claimclient.h
@@ -5,9 +5,9 @@
 #include "qz_core/loop/eventloop.h"
 #include "qz_once/batching/claimbatcher.h"
 #include "qz_once/claims/claimattempt.h"
-#include "qz_once/claims/claimkeeper.h"
 #include "qz_once/claims/claimlimits.h"
 #include "qz_once/claims/claimrowupdater.h"
+#include "qz_once/claims/delayedrowqueue.h"
 
 #include <memory>
 
@@ -21,7 +21,7 @@
 /// and no claim is taken over because time has passed. So a claimer that is paused for long
 /// harms nobody, and a claimer that is lost leaves its keys with an unknown outcome.
 ///
-/// Invariant: a row is erased no sooner than leastKeepInSendWindows send windows after its
+/// Invariant: a row is erased no sooner than minRetentionInSendWindows send windows after its
 /// claim, by the clock of the claimer, which is the clock of the grant.
 /// @see ClaimGrant
 class ClaimClient
@@ -56,18 +56,18 @@
         std::size_t storeUnavailable_ = 0;
         std::size_t undecided_ = 0;
         std::size_t droppedUpdates_ = 0;
-        std::size_t keptRows_ = 0;
-        std::size_t forgottenRows_ = 0;
+        std::size_t pendingErasures_ = 0;
+        std::size_t unscheduledErasures_ = 0;
     };
     Counts counts() const;
 
 private:
     explicit ClaimClient(const Builder &builder);
 
-    void onAttemptEnded(const KeptRow &row, TimePoint eraseAt, const ClaimAttempt::End &end,
+    void onAttemptEnded(const ClaimRowRef &row, TimePoint eraseAt, const ClaimAttempt::End &end,
                         const ClaimDone &done);
     void count(const Result<ClaimGrant> &result);
-    void releaseDeadRowLater(const KeptRow &row);
+    void releaseDeadRowLater(const ClaimRowRef &row);
     ClaimRow makeRow(AttemptToken token, ClaimState state) const;
     void onTick();
 
@@ -79,8 +79,8 @@
     std::unique_ptr<ClaimBatcher> ownBatcher_; ///< Only without a writer from outside.
     RowWriter write_;
     ClaimRowUpdater updater_;
-    ClaimKeeper keptRows_; ///< To be erased.
-    ClaimKeeper deadRows_; ///< Nobody sends under their tokens; to be released if they appear.
+    DelayedRowQueue pendingErasures_; ///< To be erased.
+    DelayedRowQueue deadRows_; ///< Nobody sends under their tokens; to be released if they appear.
     Counts counts_;
     Timers::HandlePtr tick_;
     std::shared_ptr<bool> isAlive_ = std::make_shared<bool>(true); ///< For late answers.
--- a/packages/qz_once/claims/claimrowupdater.cpp
+++ b/packages/qz_once/claims/claimrowupdater.cpp
@@ -28,9 +28,9 @@
     startNext();
 }
 
-void ClaimRowUpdater::refill(std::size_t count)
+void ClaimRowUpdater::resetQuota(std::size_t count)
 {
-    allowed_ = count;
+    quota_ = count;
     for (std::size_t i = 0; i < inFlightLimit_; ++i) {
         startNext();
     }
@@ -38,13 +38,13 @@
 
 void ClaimRowUpdater::startNext()
 {
-    if (queue_.empty() || inFlight_ >= inFlightLimit_ || allowed_ == 0) {
+    if (queue_.empty() || inFlight_ >= inFlightLimit_ || quota_ == 0) {
         return;
     }
     const ClaimRowUpdate update = std::move(queue_.front());
     queue_.pop_front();
     ++inFlight_;
-    --allowed_;
+    --quota_;
     if (update.version_ != 0) {
         writeRow(update, update.version_);
     } else {
--- a/packages/qz_once/claims/claimrowupdater.h
+++ b/packages/qz_once/claims/claimrowupdater.h
@@ -26,20 +26,20 @@
 /// how soon a key can be claimed again and how long rows are kept.
 ///
 /// Invariant: at most inFlightLimit changes are under way, and no more are started between two
-/// calls of refill() than it allowed, so that reads and writes stay within what claims leave of
+/// calls of resetQuota() than it allowed, so that reads and writes stay within what claims leave of
 /// the table. Releases go first.
 /// @see ClaimClient
 class ClaimRowUpdater
 {
 public:
-    /// @p queueLimit: changes waiting, more are dropped. Nothing starts before refill().
+    /// @p queueLimit: changes waiting, more are dropped. Nothing starts before resetQuota().
     ClaimRowUpdater(Table &table, RowWriter write, std::size_t inFlightLimit,
                     std::size_t queueLimit);
 
     void add(ClaimRowUpdate update);
 
     /// Allows @p count changes from now on.
-    void refill(std::size_t count);
+    void resetQuota(std::size_t count);
 
     std::size_t droppedCount() const { return droppedCount_; }
     std::size_t queueLength() const { return queue_.size(); }
@@ -56,7 +56,7 @@
     const std::size_t queueLimit_;
     std::deque<ClaimRowUpdate> queue_; ///< At most queueLimit_.
     std::size_t inFlight_ = 0;
-    std::size_t allowed_ = 0;
+    std::size_t quota_ = 0;
     std::size_t droppedCount_ = 0;
     std::shared_ptr<bool> isAlive_ = std::make_shared<bool>(true); ///< For late answers.
 };
--- a/packages/qz_once/claims/claimkeeper.cpp
+++ b/packages/qz_once/claims/delayedrowqueue.cpp
@@ -1,26 +1,26 @@
 // Rows waiting to be erased.
-#include "qz_once/claims/claimkeeper.h"
+#include "qz_once/claims/delayedrowqueue.h"
 
 #include <utility>
 
 namespace qz {
 
-void ClaimKeeper::add(KeptRow row, TimePoint eraseAt)
+void DelayedRowQueue::add(ClaimRowRef row, TimePoint eraseAt)
 {
     if (rows_.size() >= limit_) {
-        ++forgottenCount_;
+        ++droppedCount_;
         return;
     }
     rows_.emplace(eraseAt, std::move(row));
 }
 
-std::optional<KeptRow> ClaimKeeper::takeDue(TimePoint now)
+std::optional<ClaimRowRef> DelayedRowQueue::takeDue(TimePoint now)
 {
     const auto oldest = rows_.begin();
     if (oldest == rows_.end() || oldest->first > now) {
         return std::nullopt;
     }
-    std::optional<KeptRow> row = std::move(oldest->second);
+    std::optional<ClaimRowRef> row = std::move(oldest->second);
     rows_.erase(oldest);
     return row;
 }
--- a/packages/qz_once/claims/claimkeeper.h
+++ b/packages/qz_once/claims/delayedrowqueue.h
@@ -11,7 +11,7 @@
 namespace qz {
 
 /// A row that this process wrote.
-struct KeptRow
+struct ClaimRowRef
 {
     std::string rowKey_;
     AttemptToken token_;
@@ -19,26 +19,26 @@
 
 /// Rows by the time at which they may be erased.
 /// Invariant: holds at most the limit; what does not fit stays in the table for good.
-class ClaimKeeper
+class DelayedRowQueue
 {
 public:
-    explicit ClaimKeeper(std::size_t limit)
+    explicit DelayedRowQueue(std::size_t limit)
         : limit_(limit)
     {
     }
 
-    void add(KeptRow row, TimePoint eraseAt);
+    void add(ClaimRowRef row, TimePoint eraseAt);
 
     /// Takes out one row that is due at @p now, the oldest first.
-    std::optional<KeptRow> takeDue(TimePoint now);
+    std::optional<ClaimRowRef> takeDue(TimePoint now);
 
     std::size_t size() const { return rows_.size(); }
-    std::size_t forgottenCount() const { return forgottenCount_; }
+    std::size_t droppedCount() const { return droppedCount_; }
 
 private:
     const std::size_t limit_;
-    std::multimap<TimePoint, KeptRow> rows_;
-    std::size_t forgottenCount_ = 0;
+    std::multimap<TimePoint, ClaimRowRef> rows_;
+    std::size_t droppedCount_ = 0;
 };
 
 } // namespace qz
--- a/packages/qz_once/tests/claimbatchertest.cpp
+++ b/packages/qz_once/tests/claimbatchertest.cpp
@@ -49,7 +49,7 @@
 BOOST_AUTO_TEST_CASE(anIdleBatcherWaitsForMoreWrites)
 {
     write("once/w/a");
-    timers_.advance(limits_.wait_ / 2);
+    timers_.advance(limits_.maxBatchDelay_ / 2);
     write("once/w/b");
     settle();
     BOOST_TEST(applied_.size() == 2U);
@@ -58,12 +58,12 @@
 
 BOOST_AUTO_TEST_CASE(aFullGroupDoesNotWait)
 {
-    for (std::size_t i = 0; i < limits_.batchSize_; ++i) {
+    for (std::size_t i = 0; i < limits_.maxBatchSize_; ++i) {
         write("once/w/" + std::to_string(i));
     }
     timers_.runDue();
     table_.deliver();
-    BOOST_TEST(applied_.size() == limits_.batchSize_);
+    BOOST_TEST(applied_.size() == limits_.maxBatchSize_);
 }
 
 BOOST_AUTO_TEST_CASE(conflictsAreSplitOutAndTheRestIsCommittedAgain)
@@ -97,12 +97,13 @@
     BOOST_TEST(table_.commitCount() <= 6U);
     settle(1s);
     BOOST_TEST(applied_.size() == writes);
-    BOOST_TEST(table_.commitCount() == (writes + limits_.batchSize_ - 1) / limits_.batchSize_);
+    BOOST_TEST(table_.commitCount()
+               == (writes + limits_.maxBatchSize_ - 1) / limits_.maxBatchSize_);
 }
 
 BOOST_AUTO_TEST_CASE(aFullQueueRefuses)
 {
-    for (std::size_t i = 0; i <= limits_.queueSize_; ++i) {
+    for (std::size_t i = 0; i <= limits_.maxQueuedWrites_; ++i) {
         write("once/w/" + std::to_string(i));
     }
     BOOST_TEST(failed_.size() == 1U);
--- a/packages/qz_once/tests/claimclienttest.cpp
+++ b/packages/qz_once/tests/claimclienttest.cpp
@@ -48,7 +48,7 @@
     LosingTable losing(table_);
     const auto a = makeClient("a", losing);
     BOOST_TEST(failsWith(claimNow(*a), ErrorKind::ClaimUndecided));
-    BOOST_TEST(losing.commits_ == ClaimLimits{}.tries_);
+    BOOST_TEST(losing.commits_ == ClaimLimits{}.maxWrites_);
 }
 
 BOOST_AUTO_TEST_CASE(aClaimIsNotTriedAgainAfterItsAnswerLimit)
@@ -57,7 +57,7 @@
     const auto a = makeClient("a", losing);
     Answer answer;
     claim(*a, answer);
-    timers_.advance(ClaimLimits{}.answerLimit_);
+    timers_.advance(ClaimLimits{}.retryTimeLimit_);
     settle();
     BOOST_TEST(failsWith(answer.value(), ErrorKind::ClaimUndecided));
     BOOST_TEST(losing.commits_ == 1);
@@ -249,7 +249,7 @@
     timers_.advance(1min);
     settle(2s);
     BOOST_TEST(!row().has_value());
-    BOOST_TEST(a->counts().keptRows_ == 0U);
+    BOOST_TEST(a->counts().pendingErasures_ == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(aShortKeepIsRaisedAboveTheSendWindow)
@@ -258,7 +258,7 @@
     Answer answer;
     a->claim(workspace_, key_, 1s, [&](const auto &result) { answer = result; });
     settle();
-    timers_.advance(ClaimLimits{}.sendWindow_ * (leastKeepInSendWindows - 1));
+    timers_.advance(ClaimLimits{}.sendWindow_ * (minRetentionInSendWindows - 1));
     settle(2s);
     BOOST_TEST(row().has_value());
 }
--- a/packages/qz_proxy/dispatch/gatedispatcher.h
+++ b/packages/qz_proxy/dispatch/gatedispatcher.h
@@ -16,7 +16,7 @@
 /// Invariant: a request that was given to a link ends as not run only if the gate says so, or
 /// if the link tells that no byte of it was sent; if the link is lost or the time is up, its
 /// outcome is unknown, and an answer that still comes is dropped.
-/// @see RequestRun, GateSet
+/// @see CallerRequest, GateSet
 class GateDispatcher
 {
 public:
--- a/packages/qz_proxy/entry/callerreply.cpp
+++ b/packages/qz_proxy/entry/callerreply.cpp
@@ -17,8 +17,8 @@
     if (!record.callerRequestId_.isEmpty()) {
         headers.set(replyheader::callerRequestId, record.callerRequestId_.value());
     }
-    if (!record.tries_.empty()) {
-        headers.set(replyheader::server, record.tries_.back().server_.value());
+    if (!record.attempts_.empty()) {
+        headers.set(replyheader::server, record.attempts_.back().server_.value());
     }
 }
 
--- a/packages/qz_proxy/entry/requestrun.cpp
+++ b/packages/qz_proxy/entry/callerrequest.cpp
@@ -1,5 +1,5 @@
 // One caller's request from its arrival to its answer.
-#include "qz_proxy/entry/requestrun.h"
+#include "qz_proxy/entry/callerrequest.h"
 
 #include "qz_core/faults/faultpoint.h"
 #include "qz_core/ids/randomid.h"
@@ -47,10 +47,10 @@
 
 } // namespace
 
-void RequestRun::start(const EntryParts &parts, std::shared_ptr<HttpExchange> exchange)
+void CallerRequest::start(const EntryContext &parts, std::shared_ptr<HttpExchange> exchange)
 {
-    const auto run = std::make_shared<RequestRun>(parts, std::move(exchange));
-    run->exchange_->setCallerGoneHandler([weak = std::weak_ptr<RequestRun>(run)] {
+    const auto run = std::make_shared<CallerRequest>(parts, std::move(exchange));
+    run->exchange_->setCallerGoneHandler([weak = std::weak_ptr<CallerRequest>(run)] {
         if (const auto locked = weak.lock()) {
             locked->cancel();
         }
@@ -58,22 +58,22 @@
     run->begin();
 }
 
-RequestRun::RequestRun(const EntryParts &parts, std::shared_ptr<HttpExchange> exchange)
+CallerRequest::CallerRequest(const EntryContext &parts, std::shared_ptr<HttpExchange> exchange)
     : parts_(parts)
     , exchange_(std::move(exchange))
     , arrivedAt_(parts.loop_.now())
-    , rules_(parts.view_.rules())
+    , rules_(parts.fleetState_.rules())
 {
     record_.id_ = RequestId(makeRandomId());
-    record_.rulesVersion_ = parts.view_.rulesVersion();
+    record_.rulesVersion_ = parts.fleetState_.rulesVersion();
     const HttpHeaders &headers = exchange_->request().headers_;
     record_.workspace_ = WorkspaceId(headers.find(workspaceHeader).value_or(defaultWorkspace));
     record_.callerRequestId_ = RequestId(headers.find(replyheader::callerRequestId).value_or(""));
 }
 
-void RequestRun::begin()
+void CallerRequest::begin()
 {
-    if (!parts_.view_.isInForce()) {
+    if (!parts_.fleetState_.isInForce()) {
         fail({ ErrorKind::RulesNotInForce, "this instance cannot tell which rules are in force" });
         return;
     }
@@ -87,7 +87,7 @@
     }
 }
 
-bool RequestRun::classify()
+bool CallerRequest::classify()
 {
     const HttpRequest &request = exchange_->request();
     const std::string_view target = request.target_;
@@ -112,7 +112,7 @@
     return true;
 }
 
-void RequestRun::claim()
+void CallerRequest::claim()
 {
     const auto key = exchange_->request().headers_.find(idempotencyKeyHeader);
     if (!key || key->empty()) {
@@ -132,7 +132,7 @@
                          });
 }
 
-void RequestRun::tryNext()
+void CallerRequest::tryNext()
 {
     if (isCallerGone_) {
         fail({ ErrorKind::CallerGone, "the caller has gone" });
@@ -144,11 +144,12 @@
     }
     const auto candidates = findCandidates();
     ServerRequest request;
-    request.origin_ = parts_.view_.self().location_;
+    request.origin_ = parts_.fleetState_.self().location_;
     request.rank_ = kind_->rank_;
     request.target_ = arrivedAt_ + rules_->ranks()[kind_->rank_].target_ - parts_.loop_.now();
     if (!candidates.empty()) {
-        request.expectedServiceTime_ = parts_.digests_.expectedServiceTime(candidates.front().id_);
+        request.expectedServiceTime_ =
+                parts_.loadReports_.expectedServiceTime(candidates.front().id_);
     }
     const auto chosen = parts_.chooser_.choose(candidates, request, parts_.random_);
     if (chosen) {
@@ -167,37 +168,37 @@
     fail({ ErrorKind::NoBackendServer, "no backend server of this kind can be reached" });
 }
 
-std::vector<ServerCandidate> RequestRun::findCandidates() const
+std::vector<ServerCandidate> CallerRequest::findCandidates() const
 {
     // A newer rule set may be in force by now; its servers count, with the kind's name.
     std::vector<ServerCandidate> candidates;
-    for (const auto &server : parts_.view_.directory().serversFor(*kind_)) {
+    for (const auto &server : parts_.fleetState_.directory().serversFor(*kind_)) {
         if (server->isLeaving() || triedServers_.count(server->listed_.id_) > 0) {
             continue;
         }
         ServerCandidate candidate;
         candidate.id_ = server->listed_.id_;
         candidate.location_ = server->listed_.location_;
-        parts_.digests_.fill(candidate, parts_.loop_.now());
+        parts_.loadReports_.fillCandidate(candidate, parts_.loop_.now());
         candidates.push_back(std::move(candidate));
     }
     return candidates;
 }
 
-std::optional<InstanceId> RequestRun::gateFor(const BackendServerId &server) const
+std::optional<InstanceId> CallerRequest::gateFor(const BackendServerId &server) const
 {
-    const auto found = parts_.view_.directory().find(server);
+    const auto found = parts_.fleetState_.directory().find(server);
     if (found == nullptr) {
         return std::nullopt;
     }
-    const auto &gates = parts_.view_.gateMap().gatesOf(found->listed_);
+    const auto &gates = parts_.fleetState_.gateMap().gatesOf(found->listed_);
     if (gateChoice_ >= gates.size()) {
         return std::nullopt;
     }
     return gates[gateChoice_];
 }
 
-ExecuteRequest RequestRun::makeExecuteRequest(const BackendServerId &server) const
+ExecuteRequest CallerRequest::makeExecuteRequest(const BackendServerId &server) const
 {
     const HttpRequest &request = exchange_->request();
     ExecuteRequest message;
@@ -217,11 +218,11 @@
     return message;
 }
 
-void RequestRun::dispatch(const BackendServerId &server, const InstanceId &gate)
+void CallerRequest::dispatch(const BackendServerId &server, const InstanceId &gate)
 {
     triedServers_.insert(server);
-    tryId_ = RequestId(record_.id_.value() + "-" + std::to_string(record_.tries_.size() + 1));
-    record_.tries_.push_back({ server, gate, {}, {} });
+    tryId_ = RequestId(record_.id_.value() + "-" + std::to_string(record_.attempts_.size() + 1));
+    record_.attempts_.push_back({ server, gate, {}, {} });
     const TimePoint sentAt = parts_.loop_.now();
     parts_.dispatcher_.dispatch(gate, makeExecuteRequest(server),
                                 [self = shared_from_this(), sentAt](ExecuteAnswer answer) {
@@ -229,13 +230,13 @@
                                 });
 }
 
-void RequestRun::takeAnswer(ExecuteAnswer answer, TimePoint sentAt)
+void CallerRequest::takeAnswer(ExecuteAnswer answer, TimePoint sentAt)
 {
-    RequestTry &last = record_.tries_.back();
+    RequestAttempt &last = record_.attempts_.back();
     last.took_ = parts_.loop_.now() - sentAt;
     last.result_ = answer.errorKind_.empty() ? "answered" : answer.errorKind_;
     if (answer.loadReport_.slots_ > 0 && !answer.loadReport_.waitByRank_.empty()) {
-        parts_.digests_.record(answer.server_, answer.loadReport_, parts_.loop_.now());
+        parts_.loadReports_.record(answer.server_, answer.loadReport_, parts_.loop_.now());
     }
     auto result = toResult(std::move(answer));
     if (result.has_value()) {
@@ -247,19 +248,19 @@
     }
 }
 
-bool RequestRun::mayRetry(const Error &error)
+bool CallerRequest::mayRetry(const Error &error)
 {
     const ErrorAnswer &meaning = answerOf(error.kind_);
     const bool isUnknown = meaning.outcome_ == Outcome::Unknown;
     isUnknown_ = isUnknown_ || isUnknown;
     const bool isAllowed = isUnknown ? kind_->repeatable_ : meaning.retryInFleet_;
-    if (!isAllowed || isCallerGone_ || record_.tries_.size() >= tryLimit) {
+    if (!isAllowed || isCallerGone_ || record_.attempts_.size() >= tryLimit) {
         return false;
     }
     return isFree(error.kind_) || parts_.retries_.tryAcquire(parts_.loop_.now());
 }
 
-void RequestRun::cancel()
+void CallerRequest::cancel()
 {
     isCallerGone_ = true;
     if (!tryId_.isEmpty()) {
@@ -267,25 +268,26 @@
     }
 }
 
-void RequestRun::fail(const Error &error)
+void CallerRequest::fail(const Error &error)
 {
     const Outcome outcome = isUnknown_ ? Outcome::Unknown : answerOf(error.kind_).outcome_;
     settle(outcome == Outcome::NotRun ? ClaimResult::NotRun : ClaimResult::Unknown);
     record_.cause_ = toString(error.kind_);
     record_.message_ = error.message_;
     record(outcome);
-    exchange_->reply(makeErrorReply(error.kind_, record_, parts_.view_.self().id_));
+    exchange_->reply(makeErrorReply(error.kind_, record_, parts_.fleetState_.self().id_));
 }
 
-void RequestRun::succeed(HttpResponse response)
+void CallerRequest::succeed(HttpResponse response)
 {
     settle(ClaimResult::Ran);
     parts_.retries_.recordSuccess();
     record(Outcome::Answered);
-    exchange_->reply(makeAnsweredReply(std::move(response), record_, parts_.view_.self().id_));
+    exchange_->reply(
+            makeAnsweredReply(std::move(response), record_, parts_.fleetState_.self().id_));
 }
 
-void RequestRun::record(Outcome outcome)
+void CallerRequest::record(Outcome outcome)
 {
     record_.outcome_ = toString(outcome);
     record_.took_ = parts_.loop_.now() - arrivedAt_;
@@ -297,7 +299,7 @@
     parts_.journal_.add(record_);
 }
 
-void RequestRun::settle(ClaimResult result)
+void CallerRequest::settle(ClaimResult result)
 {
     if (grant_) {
         parts_.claims_.settle(*grant_, result);
--- a/packages/qz_proxy/entry/requestrun.h
+++ b/packages/qz_proxy/entry/callerrequest.h
@@ -6,10 +6,10 @@
 #include "qz_http/server/httpexchange.h"
 #include "qz_once/claims/claimclient.h"
 #include "qz_proxy/dispatch/gatedispatcher.h"
-#include "qz_proxy/entry/digestbook.h"
+#include "qz_proxy/entry/gateloadreports.h"
 #include "qz_proxy/observability/proxymetrics.h"
 #include "qz_proxy/observability/requestjournal.h"
-#include "qz_proxy/view/workingview.h"
+#include "qz_proxy/state/fleetstate.h"
 
 #include <memory>
 #include <optional>
@@ -19,13 +19,13 @@
 namespace qz {
 
 /// What the requests of one instance share. All members outlive every request.
-struct EntryParts
+struct EntryContext
 {
     EventLoop &loop_;
-    const WorkingView &view_;
+    const FleetState &fleetState_;
     GateDispatcher &dispatcher_;
     ClaimClient &claims_;
-    DigestBook &digests_;
+    GateLoadReports &loadReports_;
     RetryBudget &retries_;
     const ServerChooser &chooser_;
     std::mt19937_64 &random_;
@@ -40,15 +40,15 @@
 /// after a try that was not run. The caller is told the outcome of the last try, and "not
 /// run" only if no try had another outcome.
 /// @see GateDispatcher, ClaimClient
-class RequestRun : public std::enable_shared_from_this<RequestRun>
+class CallerRequest : public std::enable_shared_from_this<CallerRequest>
 {
 public:
     /// Takes over @p exchange; the run keeps itself alive until it has answered.
-    static void start(const EntryParts &parts, std::shared_ptr<HttpExchange> exchange);
+    static void start(const EntryContext &parts, std::shared_ptr<HttpExchange> exchange);
 
-    RequestRun(const EntryParts &parts, std::shared_ptr<HttpExchange> exchange);
-    RequestRun(const RequestRun &) = delete;
-    RequestRun &operator=(const RequestRun &) = delete;
+    CallerRequest(const EntryContext &parts, std::shared_ptr<HttpExchange> exchange);
+    CallerRequest(const CallerRequest &) = delete;
+    CallerRequest &operator=(const CallerRequest &) = delete;
 
 private:
     void begin();
@@ -67,7 +67,7 @@
     void record(Outcome outcome);
     void settle(ClaimResult result);
 
-    const EntryParts parts_;
+    const EntryContext parts_;
     const std::shared_ptr<HttpExchange> exchange_;
     const TimePoint arrivedAt_;
     std::shared_ptr<const RuleSet> rules_; ///< Those at arrival, to the end.
--- a/packages/qz_proxy/entry/entryservice.cpp
+++ b/packages/qz_proxy/entry/entryservice.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-EntryService::EntryService(const EntryParts &parts, Duration addressKeepTime)
+EntryService::EntryService(const EntryContext &parts, Duration addressKeepTime)
     : parts_(parts)
     , directory_(makeLimits(addressKeepTime))
 {
@@ -33,15 +33,15 @@
         answerAddresses(*exchange);
         return;
     }
-    RequestRun::start(parts_, exchange);
+    CallerRequest::start(parts_, exchange);
 }
 
 std::string EntryService::addressesFor(const AddressQuery &query) const
 {
     std::vector<EntryMember> entries;
-    for (const Member &member : parts_.view_.members()) {
+    for (const Member &member : parts_.fleetState_.members()) {
         const bool isLeaving = member.state_ == MemberState::Leaving
-                || (member.id_ == parts_.view_.self().id_ && parts_.view_.isLeaving());
+                || (member.id_ == parts_.fleetState_.self().id_ && parts_.fleetState_.isLeaving());
         entries.push_back({ member.id_, member.location_, member.callerEndpoint_, isLeaving });
     }
     return directory_.addressesFor(query, entries).toJson().dump() + "\n";
--- a/packages/qz_proxy/entry/entryservice.h
+++ b/packages/qz_proxy/entry/entryservice.h
@@ -3,7 +3,7 @@
 
 #include "qz_entries/directory/entrydirectory.h"
 #include "qz_http/server/httpexchange.h"
-#include "qz_proxy/entry/requestrun.h"
+#include "qz_proxy/entry/callerrequest.h"
 
 #include <memory>
 
@@ -11,12 +11,12 @@
 
 /// Handles every exchange that is not an operator's. Paths under /quetzaldale/ are its own:
 /// /quetzaldale/addresses answers which addresses to use. All others are work.
-/// @see RequestRun, EntryDirectory, OperatorService
+/// @see CallerRequest, EntryDirectory, OperatorService
 class EntryService
 {
 public:
     /// Callers are told to keep an address for @p addressKeepTime.
-    EntryService(const EntryParts &parts, Duration addressKeepTime);
+    EntryService(const EntryContext &parts, Duration addressKeepTime);
     EntryService(const EntryService &) = delete;
     EntryService &operator=(const EntryService &) = delete;
 
@@ -28,7 +28,7 @@
 private:
     void answerAddresses(HttpExchange &exchange) const;
 
-    const EntryParts parts_;
+    const EntryContext parts_;
     const EntryDirectory directory_;
 };
 
--- a/packages/qz_proxy/entry/digestbook.cpp
+++ b/packages/qz_proxy/entry/gateloadreports.cpp
@@ -1,16 +1,17 @@
 // What this entry last heard of each gate's queue.
-#include "qz_proxy/entry/digestbook.h"
+#include "qz_proxy/entry/gateloadreports.h"
 
 namespace qz {
 
-void DigestBook::record(const BackendServerId &server, const GateLoadReport &digest, TimePoint now)
+void GateLoadReports::record(const BackendServerId &server, const GateLoadReport &digest,
+                             TimePoint now)
 {
     Entry &entry = entries_[server];
     entry.digest_ = digest;
     entry.at_ = now;
 }
 
-void DigestBook::fill(ServerCandidate &candidate, TimePoint now) const
+void GateLoadReports::fillCandidate(ServerCandidate &candidate, TimePoint now) const
 {
     const auto found = entries_.find(candidate.id_);
     if (found == entries_.end()) {
@@ -31,7 +32,7 @@
     candidate.digest_ = queue;
 }
 
-Duration DigestBook::expectedServiceTime(const BackendServerId &server) const
+Duration GateLoadReports::expectedServiceTime(const BackendServerId &server) const
 {
     const auto found = entries_.find(server);
     return found == entries_.end() ? Duration::zero() : found->second.digest_.expectedServiceTime_;
--- a/packages/qz_proxy/entry/digestbook.h
+++ b/packages/qz_proxy/entry/gateloadreports.h
@@ -9,13 +9,13 @@
 namespace qz {
 
 /// Remembers the digest that each answer of a gate carries.
-class DigestBook
+class GateLoadReports
 {
 public:
     void record(const BackendServerId &server, const GateLoadReport &digest, TimePoint now);
 
     /// Fills what is known of the server into @p candidate.
-    void fill(ServerCandidate &candidate, TimePoint now) const;
+    void fillCandidate(ServerCandidate &candidate, TimePoint now) const;
 
     /// The expected time in a slot at @p server; zero if unknown.
     Duration expectedServiceTime(const BackendServerId &server) const;
--- a/packages/qz_proxy/observability/proxymetrics.cpp
+++ b/packages/qz_proxy/observability/proxymetrics.cpp
@@ -23,10 +23,10 @@
                         .Name("quetzaldale_requests_total")
                         .Help("Requests of callers by outcome, cause and rank")
                         .Register(registry_))
-    , tries_(prometheus::BuildCounter()
-                     .Name("quetzaldale_tries_total")
-                     .Help("Tries at backend servers by result")
-                     .Register(registry_))
+    , attempts_(prometheus::BuildCounter()
+                        .Name("quetzaldale_tries_total")
+                        .Help("Tries at backend servers by result")
+                        .Register(registry_))
     , seconds_(prometheus::BuildHistogram()
                        .Name("quetzaldale_request_seconds")
                        .Help("Time from a whole request to its answer, by rank")
@@ -43,8 +43,8 @@
                    { "cause", record.cause_ },
                    { "rank", record.rank_ } })
             .Increment();
-    for (const RequestTry &one : record.tries_) {
-        tries_.Add({ { "result", one.result_ } }).Increment();
+    for (const RequestAttempt &one : record.attempts_) {
+        attempts_.Add({ { "result", one.result_ } }).Increment();
     }
     const double seconds = std::chrono::duration<double>(record.took_).count();
     seconds_.Add({ { "rank", record.rank_ } }, latencyBounds).Observe(seconds);
--- a/packages/qz_proxy/observability/proxymetrics.h
+++ b/packages/qz_proxy/observability/proxymetrics.h
@@ -32,7 +32,7 @@
 private:
     prometheus::Registry registry_;
     prometheus::Family<prometheus::Counter> &requests_;
-    prometheus::Family<prometheus::Counter> &tries_;
+    prometheus::Family<prometheus::Counter> &attempts_;
     prometheus::Family<prometheus::Histogram> &seconds_;
     prometheus::Gauge &rulesVersion_;
     prometheus::Gauge &members_;
--- a/packages/qz_proxy/observability/requestjournal.cpp
+++ b/packages/qz_proxy/observability/requestjournal.cpp
@@ -17,7 +17,7 @@
 nlohmann::json RequestRecord::toJson() const
 {
     nlohmann::json tries = nlohmann::json::array();
-    for (const RequestTry &one : tries_) {
+    for (const RequestAttempt &one : attempts_) {
         tries.push_back({ { "server", one.server_.value() },
                           { "gate", one.gate_.value() },
                           { "result", one.result_ },
--- a/packages/qz_proxy/observability/requestjournal.h
+++ b/packages/qz_proxy/observability/requestjournal.h
@@ -15,7 +15,7 @@
 namespace qz {
 
 /// One try of a request at one backend server.
-struct RequestTry
+struct RequestAttempt
 {
     BackendServerId server_;
     InstanceId gate_;
@@ -32,7 +32,7 @@
     std::string kind_;
     std::string rank_;
     RulesVersion rulesVersion_ = 0;
-    std::vector<RequestTry> tries_;
+    std::vector<RequestAttempt> attempts_;
     std::string outcome_;
     std::string cause_; ///< Name of an error kind; empty if answered.
     std::string message_;
--- a/packages/qz_proxy/operators/operatorservice.cpp
+++ b/packages/qz_proxy/operators/operatorservice.cpp
@@ -42,16 +42,16 @@
               { { "error", toString(error.kind_) }, { "message", error.message_ } });
 }
 
-OperatorService::OperatorService(std::string token, const WorkingView &view,
+OperatorService::OperatorService(std::string token, const FleetState &view,
                                  const RequestJournal &journal, const ProxyMetrics &metrics)
     : token_(std::move(token))
-    , view_(view)
+    , fleetState_(view)
     , journal_(journal)
     , metrics_(metrics)
 {
 }
 
-bool OperatorService::isOwnPath(const std::string &target)
+bool OperatorService::isOperatorPath(const std::string &target)
 {
     return startsWith(target, operatorPrefix) || pathOf(target) == metricsPath;
 }
@@ -105,8 +105,8 @@
 nlohmann::json OperatorService::backends() const
 {
     nlohmann::json list = nlohmann::json::array();
-    for (const auto &[id, server] : view_.directory().all()) {
-        const auto &gates = view_.gateMap().gatesOf(server->listed_);
+    for (const auto &[id, server] : fleetState_.directory().all()) {
+        const auto &gates = fleetState_.gateMap().gatesOf(server->listed_);
         list.push_back({ { "id", id.value() },
                          { "service", server->service_.value() },
                          { "endpoint", toString(server->listed_.endpoint_) },
@@ -116,13 +116,13 @@
                          { "leaving", server->isLeaving() },
                          { "gate", gates.empty() ? "" : gates.front().value() } });
     }
-    return { { "backend_servers", list }, { "rules_version", view_.rulesVersion() } };
+    return { { "backend_servers", list }, { "rules_version", fleetState_.rulesVersion() } };
 }
 
 nlohmann::json OperatorService::instances() const
 {
     nlohmann::json list = nlohmann::json::array();
-    for (const Member &member : view_.members()) {
+    for (const Member &member : fleetState_.members()) {
         list.push_back({ { "id", member.id_.value() },
                          { "state", toString(member.state_) },
                          { "caller_endpoint", toString(member.callerEndpoint_) },
--- a/packages/qz_proxy/operators/operatorservice.h
+++ b/packages/qz_proxy/operators/operatorservice.h
@@ -4,7 +4,7 @@
 #include "qz_http/server/httpexchange.h"
 #include "qz_proxy/observability/proxymetrics.h"
 #include "qz_proxy/observability/requestjournal.h"
-#include "qz_proxy/view/workingview.h"
+#include "qz_proxy/state/fleetstate.h"
 
 #include <nlohmann/json.hpp>
 
@@ -22,18 +22,18 @@
     /// Called with an exchange whose token was good; answers it.
     using Handler = std::function<void(const std::shared_ptr<HttpExchange> &)>;
 
-    OperatorService(std::string token, const WorkingView &view, const RequestJournal &journal,
+    OperatorService(std::string token, const FleetState &view, const RequestJournal &journal,
                     const ProxyMetrics &metrics);
     OperatorService(const OperatorService &) = delete;
     OperatorService &operator=(const OperatorService &) = delete;
 
     /// Whether this path belongs to operators.
-    static bool isOwnPath(const std::string &target);
+    static bool isOperatorPath(const std::string &target);
 
     void handle(const std::shared_ptr<HttpExchange> &exchange) const;
 
     /// Sets what GET /operator/dump answers.
-    void setDump(std::function<nlohmann::json()> dump) { dump_ = std::move(dump); }
+    void setDumpProvider(std::function<nlohmann::json()> dump) { dump_ = std::move(dump); }
 
     /// Sets what GET and PUT /operator/rules and GET /operator/status do.
     void setRulesHandler(Handler handler) { rulesHandler_ = std::move(handler); }
@@ -47,7 +47,7 @@
     void explain(const std::string &id, HttpExchange &exchange) const;
 
     const std::string token_;
-    const WorkingView &view_;
+    const FleetState &fleetState_;
     const RequestJournal &journal_;
     const ProxyMetrics &metrics_;
     std::function<nlohmann::json()> dump_;
--- a/packages/qz_proxy/qz_proxy.h
+++ b/packages/qz_proxy/qz_proxy.h
@@ -5,10 +5,10 @@
 #pragma once
 
 #include "qz_proxy/dispatch/gatedispatcher.h"
-#include "qz_proxy/entry/digestbook.h"
+#include "qz_proxy/entry/callerrequest.h"
 #include "qz_proxy/entry/entryservice.h"
-#include "qz_proxy/entry/requestrun.h"
+#include "qz_proxy/entry/gateloadreports.h"
 #include "qz_proxy/observability/proxymetrics.h"
 #include "qz_proxy/observability/requestjournal.h"
 #include "qz_proxy/operators/operatorservice.h"
-#include "qz_proxy/view/workingview.h"
+#include "qz_proxy/state/fleetstate.h"
--- a/packages/qz_proxy/view/workingview.cpp
+++ b/packages/qz_proxy/state/fleetstate.cpp
@@ -1,5 +1,5 @@
 // What this instance works by at the moment.
-#include "qz_proxy/view/workingview.h"
+#include "qz_proxy/state/fleetstate.h"
 
 #include "qz_core/faults/faultpoint.h"
 
@@ -7,13 +7,13 @@
 
 namespace qz {
 
-WorkingView::WorkingView(Member self)
+FleetState::FleetState(Member self)
     : self_(std::move(self))
 {
     setMembers({ self_ });
 }
 
-void WorkingView::adoptRules(RulesVersion version, std::shared_ptr<const RuleSet> rules)
+void FleetState::adoptRules(RulesVersion version, std::shared_ptr<const RuleSet> rules)
 {
     const bool isFrozen = rules_ != nullptr && isFaultInjected(FaultPoint::RulesFrozen);
     if (version <= version_ || isFrozen) {
@@ -24,13 +24,13 @@
     directory_.setRules(rules_);
 }
 
-void WorkingView::setMembers(std::vector<Member> members)
+void FleetState::setMembers(std::vector<Member> members)
 {
     members_ = std::move(members);
     gateMap_.setMembers(members_);
 }
 
-void WorkingView::setListing(std::vector<ListedBackendServer> servers)
+void FleetState::setListing(std::vector<ListedBackendServer> servers)
 {
     directory_.setListing(std::move(servers));
 }
--- a/packages/qz_proxy/view/workingview.h
+++ b/packages/qz_proxy/state/fleetstate.h
@@ -13,12 +13,12 @@
 
 /// One place for the state that several duties read. Its writers are the drivers of rules and
 /// membership; each change replaces a part whole.
-class WorkingView
+class FleetState
 {
 public:
-    explicit WorkingView(Member self);
-    WorkingView(const WorkingView &) = delete;
-    WorkingView &operator=(const WorkingView &) = delete;
+    explicit FleetState(Member self);
+    FleetState(const FleetState &) = delete;
+    FleetState &operator=(const FleetState &) = delete;
 
     /// Invariant: the version only rises. A lower or equal one is ignored.
     void adoptRules(RulesVersion version, std::shared_ptr<const RuleSet> rules);
@@ -27,7 +27,7 @@
     void setLeaving() { self_.state_ = MemberState::Leaving; }
 
     /// Sets the test that tells whether new work may be taken under the rules.
-    void setInForceTest(std::function<bool()> test) { isInForce_ = std::move(test); }
+    void setInForceCheck(std::function<bool()> test) { isInForce_ = std::move(test); }
 
     bool isInForce() const { return rules_ != nullptr && isInForce_ && isInForce_(); }
     bool isLeaving() const { return self_.state_ == MemberState::Leaving; }
