--- a/packages/qz_forward/backends/backend.cpp
+++ b/packages/qz_forward/backends/backend.cpp
@@ -1,4 +1,4 @@
-// Idle connections and unanswered requests of a backend server.
+// Bookkeeping of idle connections and unanswered requests.
 #include "qz_forward/backends/backend.h"
 
 #include "qz_core/faults/faultpoint.h"
@@ -10,14 +10,15 @@
 
 namespace {
 
-constexpr std::size_t idleLimit = 4; ///< Connections; servers take few in all.
-/// How long an idle connection is kept if the server says nothing of it.
-constexpr Duration defaultIdleTime = std::chrono::seconds(4);
-/// A connection is not used so shortly before the server would close it.
-constexpr Duration idleMargin = std::chrono::seconds(2);
-/// An idle connection of this age may carry a request that is not repeatable. Servers that
-/// forget idle connections do so after some tenths of a second at the earliest.
-constexpr Duration provenTime = std::chrono::milliseconds(150);
+/// Number of idle connections to keep; servers accept only a few connections in total.
+constexpr std::size_t maxIdleConnections = 4;
+/// Idle time after which a connection is closed if the server sends no Keep-Alive timeout.
+constexpr Duration defaultIdleTimeout = std::chrono::seconds(4);
+/// A connection is no longer used this long before the server would close it.
+constexpr Duration keepAliveMargin = std::chrono::seconds(2);
+/// Longest idle time of a connection that may carry a request that is not repeatable. Some
+/// servers drop idle connections without notice after a few tenths of a second.
+constexpr Duration maxIdleTimeNonRepeatable = std::chrono::milliseconds(150);
 
 } // namespace
 
@@ -40,36 +41,36 @@
 
 void Backend::beginRequest(TimePoint now)
 {
-    begun_.insert(now);
+    startTimes_.insert(now);
     lastSent_ = now;
 }
 
-void Backend::endRequest(TimePoint begunAt)
+void Backend::endRequest(TimePoint startTime)
 {
-    const auto found = begun_.find(begunAt);
-    if (found != begun_.end()) {
-        begun_.erase(found);
+    const auto found = startTimes_.find(startTime);
+    if (found != startTimes_.end()) {
+        startTimes_.erase(found);
     }
 }
 
 Duration Backend::oldestRequestAge(TimePoint now) const
 {
-    return begun_.empty() ? Duration::zero() : now - *begun_.begin();
+    return startTimes_.empty() ? Duration::zero() : now - *startTimes_.begin();
 }
 
 bool Backend::isUsable(const BackendConnection &connection, TimePoint now) const
 {
-    const Duration kept = connection.keepAliveTime() > Duration::zero()
-            ? connection.keepAliveTime() - idleMargin
-            : defaultIdleTime;
-    return connection.isReusable() && now - connection.idleSince() < kept;
+    const Duration idleTimeout = connection.keepAliveTime() > Duration::zero()
+            ? connection.keepAliveTime() - keepAliveMargin
+            : defaultIdleTimeout;
+    return connection.isReusable() && now - connection.idleSince() < idleTimeout;
 }
 
 std::unique_ptr<BackendConnection> Backend::takeIdleConnection(bool isRepeatable, TimePoint now)
 {
     while (!idle_.empty()) {
-        if (!isRepeatable && now - idle_.back()->idleSince() > provenTime) {
-            break; // The others have been idle for longer.
+        if (!isRepeatable && now - idle_.back()->idleSince() > maxIdleTimeNonRepeatable) {
+            break; // All others have been idle for longer.
         }
         auto connection = std::move(idle_.back());
         idle_.pop_back();
@@ -83,7 +84,7 @@
 void Backend::returnConnection(std::unique_ptr<BackendConnection> connection)
 {
     connection->setListener(nullptr);
-    if (isOpen() && idle_.size() < idleLimit && connection->isReusable()) {
+    if (isOpen() && idle_.size() < maxIdleConnections && connection->isReusable()) {
         idle_.push_back(std::move(connection));
     }
 }
--- a/packages/qz_forward/backends/backend.h
+++ b/packages/qz_forward/backends/backend.h
@@ -1,4 +1,4 @@
-// One start of a backend server, as this instance sees it.
+// A backend server as this instance sees it.
 #pragma once
 
 #include "qz_core/ids/ids.h"
@@ -17,18 +17,18 @@
 struct ListedBackend
 {
     BackendServerId id_;
-    /// Differs between two starts under the same id.
+    /// Distinguishes restarts of a server that keeps its id.
     std::int64_t incarnation_ = 0;
     ServiceId service_;
     Endpoint endpoint_;
     Location location_;
-    int slots_ = 1;            ///< Requests that it works on at once.
-    bool isDraining_ = false;  ///< It ends soon and must get no new work.
-    Duration coldRemaining_{}; ///< It is slow for so long yet.
+    int slots_ = 1;            ///< Number of requests that the server processes concurrently.
+    bool isDraining_ = false;  ///< The server will stop soon and must get no new requests.
+    Duration coldRemaining_{}; ///< Time until the server has warmed up; it is slow until then.
 };
 
-/// Holds what belongs to one incarnation: its health, the requests that it has not answered
-/// and its idle connections.
+/// The state that belongs to one incarnation of a backend server: its health, the requests in
+/// progress and its idle connections.
 /// @see BackendTable
 class Backend
 {
@@ -40,30 +40,34 @@
     const ListedBackend &listed() const { return listed_; }
     void update(const ListedBackend &listed) { listed_ = listed; }
 
-    /// Listed and not leaving: it may get new work.
+    /// Returns true if the server is listed and not draining, so that it may get new requests.
     bool isOpen() const;
-    /// It has left the list.
+    /// Marks the server as removed from the list and closes its idle connections.
     void close();
 
     ServerHealth &health() { return health_; }
     const ServerHealth &health() const { return health_; }
 
+    /// Records that a request is sent to the server at @p now.
     void beginRequest(TimePoint now);
-    /// When the last request was sent to it.
+    /// Records the end of the request that began at @p startTime.
+    void endRequest(TimePoint startTime);
+    /// Returns the time when the last request was sent to the server.
     TimePoint lastSent() const { return lastSent_; }
-    /// Ends the request that began at @p begunAt.
-    void endRequest(TimePoint begunAt);
-    int inFlight() const { return static_cast<int>(begun_.size()); }
+    /// Returns the number of requests that the server has not answered yet.
+    int inFlight() const { return static_cast<int>(startTimes_.size()); }
+    /// Returns the age of the oldest unanswered request, or zero if there is none.
     Duration oldestRequestAge(TimePoint now) const;
 
-    /// An idle connection that may still be used, or null. For a request that is not
-    /// repeatable only one whose way was proven a moment ago: a new one takes a round trip and
-    /// shows without a request whether the server can be reached.
+    /// Returns an idle connection that may still be used, or null. A request that is not
+    /// repeatable gets only a connection that was in use a moment ago. Opening a new connection
+    /// costs a round trip, but shows that the server is reachable before a request is sent.
     std::unique_ptr<BackendConnection> takeIdleConnection(bool isRepeatable, TimePoint now);
+    /// Keeps @p connection for a later request if it is reusable, otherwise closes it.
     void returnConnection(std::unique_ptr<BackendConnection> connection);
-    /// Closes idle connections that are too old.
+    /// Closes connections that have been idle for too long.
     void closeStaleConnections(TimePoint now);
-    /// Closes all idle connections: the way to the server has gone silent.
+    /// Closes all idle connections, after the server has become unreachable.
     void closeIdleConnections() { idle_.clear(); }
     std::size_t idleConnectionCount() const { return idle_.size(); }
 
@@ -73,8 +77,9 @@
     EventLoop &loop_;
     ListedBackend listed_;
     ServerHealth health_;
-    std::multiset<TimePoint> begun_; ///< When the unanswered requests were sent.
-    std::vector<std::unique_ptr<BackendConnection>> idle_; ///< Longest idle first.
+    std::multiset<TimePoint> startTimes_; ///< Start times of the unanswered requests.
+    /// Idle connections; the one that has been idle longest comes first.
+    std::vector<std::unique_ptr<BackendConnection>> idle_;
     TimePoint lastSent_{};
     bool isListed_ = true;
 };
--- a/packages/qz_forward/backends/backendtable.cpp
+++ b/packages/qz_forward/backends/backendtable.cpp
@@ -1,4 +1,4 @@
-// Changes of the list of backend servers.
+// Applies changes of the list of backend servers.
 #include "qz_forward/backends/backendtable.h"
 
 #include "qz_core/logging/logger.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-nlohmann::json describe(const ListedBackend &listed)
+nlohmann::json toJson(const ListedBackend &listed)
 {
     return { { "server", listed.id_.value() },
              { "incarnation", listed.incarnation_ },
@@ -33,19 +33,19 @@
     missing_.erase(listed.id_);
     const auto found = servers_.find(listed.id_);
     if (found != servers_.end()) {
-        const ListedBackend &known = found->second->listed();
-        const bool isSame = known.incarnation_ == listed.incarnation_
-                && known.endpoint_ == listed.endpoint_ && known.service_ == listed.service_;
+        const ListedBackend &current = found->second->listed();
+        const bool isSame = current.incarnation_ == listed.incarnation_
+                && current.endpoint_ == listed.endpoint_ && current.service_ == listed.service_;
         if (isSame) {
-            if (known.isDraining_ != listed.isDraining_) {
-                log(LogLevel::Info, "backend-changed", describe(listed));
+            if (current.isDraining_ != listed.isDraining_) {
+                log(LogLevel::Info, "backend-changed", toJson(listed));
             }
             found->second->update(listed);
             return;
         }
         erase(listed.id_);
     }
-    log(LogLevel::Info, "backend-listed", describe(listed));
+    log(LogLevel::Info, "backend-listed", toJson(listed));
     const auto server = std::make_shared<Backend>(loop_, listed);
     servers_[listed.id_] = server;
     services_[listed.service_].push_back(server);
@@ -84,7 +84,7 @@
 void BackendTable::startRemovalGrace(Duration grace)
 {
     graceUntil_ = loop_.now() + grace;
-    graceEnd_ = loop_.callAfter(grace, [this] { endGrace(); });
+    graceTimer_ = loop_.callAfter(grace, [this] { endGrace(); });
 }
 
 void BackendTable::endGrace()
@@ -101,13 +101,13 @@
         return;
     }
     const ServerPtr server = found->second;
-    log(LogLevel::Info, "backend-gone", describe(server->listed()));
+    log(LogLevel::Info, "backend-gone", toJson(server->listed()));
     servers_.erase(found);
-    detach(server);
+    removeFromService(server);
     server->close();
 }
 
-void BackendTable::detach(const ServerPtr &server)
+void BackendTable::removeFromService(const ServerPtr &server)
 {
     auto &group = services_[server->listed().service_];
     group.erase(std::remove(group.begin(), group.end(), server), group.end());
--- a/packages/qz_forward/backends/backendtable.h
+++ b/packages/qz_forward/backends/backendtable.h
@@ -1,4 +1,4 @@
-// The backend servers that are listed now, by service.
+// The backend servers that are currently listed, by service.
 #pragma once
 
 #include "qz_forward/backends/backend.h"
@@ -10,12 +10,12 @@
 
 namespace qz {
 
-/// Follows the platform's list. A change of a server's incarnation or address makes a new
-/// Backend, which knows nothing of the one before.
+/// Follows the platform's list of backend servers. A changed incarnation, endpoint or service
+/// creates a new Backend without the history of the previous one.
 ///
-/// While the list cannot be read the last one holds. Entries may lapse in that time though
-/// their servers live; so for a grace time after reading works again a server that is
-/// missing is kept.
+/// While the list cannot be read, the last known list stays in use. Entries of running servers
+/// may expire during such an outage. Therefore servers that are missing from the list are kept
+/// for a grace period after the list can be read again.
 /// @see ListedBackend
 class BackendTable
 {
@@ -24,22 +24,22 @@
 
     explicit BackendTable(EventLoop &loop);
 
-    /// Adds or changes one server.
+    /// Adds or updates one server.
     void put(const ListedBackend &listed);
 
-    /// A server has left the list. In the grace time it is kept until that ends.
+    /// Removes a server that is no longer listed; during the grace period only when that ends.
     void remove(const BackendServerId &id);
 
-    /// The whole list; servers that are not in it have left.
+    /// Replaces the whole list; removes the servers that are not in @p listed.
     void replaceAll(const std::vector<ListedBackend> &listed);
 
-    /// The list could not be read and can be read again from now on.
+    /// Starts the grace period when the list can be read again after an outage.
     void startRemovalGrace(Duration grace);
 
-    /// Empty if nothing is listed for @p service.
+    /// Returns the servers of @p service; empty if none is listed.
     const std::vector<ServerPtr> &serversOf(const ServiceId &service) const;
 
-    /// Null if it is not listed.
+    /// Returns the server with @p id, or null if it is not listed.
     ServerPtr find(const BackendServerId &id) const;
 
     std::size_t size() const { return servers_.size(); }
@@ -51,14 +51,15 @@
 private:
     void erase(const BackendServerId &id);
     void endGrace();
-    void detach(const ServerPtr &server);
+    void removeFromService(const ServerPtr &server);
 
     EventLoop &loop_;
     std::map<BackendServerId, ServerPtr> servers_;
-    std::map<ServiceId, std::vector<ServerPtr>> services_; ///< The same servers.
-    std::map<BackendServerId, bool> missing_;              ///< Left the list in the grace time.
+    std::map<ServiceId, std::vector<ServerPtr>> services_; ///< The same servers, by service.
+    /// Servers that were removed from the list during the grace period.
+    std::map<BackendServerId, bool> missing_;
     TimePoint graceUntil_{};
-    Timers::HandlePtr graceEnd_;
+    Timers::HandlePtr graceTimer_;
 };
 
 } // namespace qz
--- a/packages/qz_forward/observability/forwardmetrics.cpp
+++ b/packages/qz_forward/observability/forwardmetrics.cpp
@@ -1,4 +1,4 @@
-// The metric families and their text.
+// Metric families and their text format.
 #include "qz_forward/observability/forwardmetrics.h"
 
 #include <prometheus/text_serializer.h>
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Upper bounds in seconds, around the target times of requests.
-const prometheus::Histogram::BucketBoundaries secondsBounds{ 0.05, 0.1, 0.2, 0.3, 0.5, 0.75,
-                                                             1.0,  1.5, 2.0, 4.0, 8.0 };
+/// Upper bounds of the histogram buckets in seconds, around typical target times of requests.
+const prometheus::Histogram::BucketBoundaries bucketBounds{ 0.05, 0.1, 0.2, 0.3, 0.5, 0.75,
+                                                            1.0,  1.5, 2.0, 4.0, 8.0 };
 
 prometheus::Family<prometheus::Counter> &makeCounter(prometheus::Registry &registry,
                                                      const std::string &name,
@@ -28,8 +28,8 @@
 
 ForwardMetrics::ForwardMetrics()
     : requests_(makeCounter(registry_, "qz_requests_total", "Requests of callers by outcome."))
-    , tries_(makeCounter(registry_, "qz_tries_total", "Sends to backend servers by result."))
-    , holds_(makeCounter(registry_, "qz_holds_total", "Times that a server was held."))
+    , attempts_(makeCounter(registry_, "qz_tries_total", "Sends to backend servers by result."))
+    , ejections_(makeCounter(registry_, "qz_holds_total", "Times that a server was held."))
     , storeCalls_(makeCounter(registry_, "qz_store_calls_total", "Calls to the platform's store."))
     , seconds_(prometheus::BuildHistogram()
                        .Name("qz_request_seconds")
@@ -42,21 +42,22 @@
 }
 
 void ForwardMetrics::countRequest(const std::string &service, const std::string &outcome,
-                                  Duration took)
+                                  Duration elapsed)
 {
     requests_.Add({ { "service", service }, { "outcome", outcome } }).Increment();
-    seconds_.Add({ { "service", service }, { "outcome", outcome } }, secondsBounds)
-            .Observe(std::chrono::duration<double>(took).count());
+    seconds_.Add({ { "service", service }, { "outcome", outcome } }, bucketBounds)
+            .Observe(std::chrono::duration<double>(elapsed).count());
 }
 
 void ForwardMetrics::countAttempt(const std::string &service, AttemptResult result)
 {
-    tries_.Add({ { "service", service }, { "result", std::string(toString(result)) } }).Increment();
+    attempts_.Add({ { "service", service }, { "result", std::string(toString(result)) } })
+            .Increment();
 }
 
 void ForwardMetrics::countEjection(const std::string &service)
 {
-    holds_.Add({ { "service", service } }).Increment();
+    ejections_.Add({ { "service", service } }).Increment();
 }
 
 void ForwardMetrics::countStoreCall(const std::string &call, const std::string &outcome)
--- a/packages/qz_forward/observability/forwardmetrics.h
+++ b/packages/qz_forward/observability/forwardmetrics.h
@@ -13,8 +13,8 @@
 
 namespace qz {
 
-/// Counts requests by service and outcome, tries by result, and holds of servers. Labels
-/// have few values: services come from the configuration, the others from closed lists.
+/// Counts requests by service and outcome, attempts by result, and ejections of backend servers.
+/// The labels have few values: services come from the configuration, all others from fixed sets.
 class ForwardMetrics
 {
 public:
@@ -22,7 +22,7 @@
     ForwardMetrics(const ForwardMetrics &) = delete;
     ForwardMetrics &operator=(const ForwardMetrics &) = delete;
 
-    void countRequest(const std::string &service, const std::string &outcome, Duration took);
+    void countRequest(const std::string &service, const std::string &outcome, Duration elapsed);
     void countAttempt(const std::string &service, AttemptResult result);
     void countEjection(const std::string &service);
     void countStoreCall(const std::string &call, const std::string &outcome);
@@ -30,14 +30,14 @@
     void setBackendCount(double count);
     void setConnectionCount(double count);
 
-    /// The text form of Prometheus.
+    /// Returns all metrics in the Prometheus text format.
     std::string format() const;
 
 private:
     prometheus::Registry registry_;
     prometheus::Family<prometheus::Counter> &requests_;
-    prometheus::Family<prometheus::Counter> &tries_;
-    prometheus::Family<prometheus::Counter> &holds_;
+    prometheus::Family<prometheus::Counter> &attempts_;
+    prometheus::Family<prometheus::Counter> &ejections_;
     prometheus::Family<prometheus::Counter> &storeCalls_;
     prometheus::Family<prometheus::Histogram> &seconds_;
     prometheus::Gauge &configVersion_;
--- a/packages/qz_forward/qz_forward.h
+++ b/packages/qz_forward/qz_forward.h
@@ -1,4 +1,4 @@
-// The package qz_forward: requests from callers to backend servers and their answers back.
+// The package qz_forward: forwards callers' requests to backend servers and returns the responses.
 #pragma once
 
 #include "qz_forward/backends/backendtable.h"
--- a/packages/qz_forward/requests/forwardattempt.cpp
+++ b/packages/qz_forward/requests/forwardattempt.cpp
@@ -1,4 +1,4 @@
-// A try's connection, request and answer.
+// Connection, request and response of an attempt.
 #include "qz_forward/requests/forwardattempt.h"
 
 #include "qz_core/logging/logger.h"
@@ -11,19 +11,19 @@
 
 namespace {
 
-/// Answers up to this size are held until they are whole.
-constexpr std::size_t answerBufferBytes = std::size_t(64) * 1024;
+/// Responses up to this size are buffered until they are complete.
+constexpr std::size_t responseBufferBytes = std::size_t(64) * 1024;
 
 } // namespace
 
-ForwardAttempt::ForwardAttempt(ForwardedRequest &run, std::shared_ptr<Backend> server,
+ForwardAttempt::ForwardAttempt(ForwardedRequest &request, std::shared_ptr<Backend> server,
                                const Placement &placement)
-    : run_(run)
+    : request_(request)
     , server_(std::move(server))
     , placement_(placement)
-    , startedAt_(run.forwarder().loop().now())
+    , startTime_(request.forwarder().loop().now())
 {
-    server_->beginRequest(startedAt_);
+    server_->beginRequest(startTime_);
 }
 
 ForwardAttempt::~ForwardAttempt()
@@ -35,13 +35,13 @@
 
 Duration ForwardAttempt::elapsed() const
 {
-    return run_.forwarder().loop().now() - startedAt_;
+    return request_.forwarder().loop().now() - startTime_;
 }
 
 void ForwardAttempt::start()
 {
-    Forwarder &forwarder = run_.forwarder();
-    connection_ = server_->takeIdleConnection(run_.isRepeatable(), startedAt_);
+    Forwarder &forwarder = request_.forwarder();
+    connection_ = server_->takeIdleConnection(request_.isRepeatable(), startTime_);
     if (connection_ != nullptr) {
         connection_->setListener(this);
         send();
@@ -50,18 +50,21 @@
     connection_ = std::make_unique<BackendConnection>(forwarder.loop(), server_->listed().endpoint_,
                                                       forwarder.settings().silenceLimit_);
     connection_->setListener(this);
-    connectTimeout_ = forwarder.loop().callAfter(forwarder.settings().connectTimeout_, [this] {
-        run_.handleAttemptFailure(*this,
-                                  failure(ErrorKind::BackendConnectFailed, "connect timed out"));
+    connectTimer_ = forwarder.loop().callAfter(forwarder.settings().connectTimeout_, [this] {
+        request_.handleAttemptFailure(*this,
+                                      failure(ErrorKind::BackendConnectFailed,
+                                              "connecting to the backend server timed out"));
     });
 }
 
 void ForwardAttempt::takeConnected()
 {
-    connectTimeout_.reset();
+    connectTimer_.reset();
     if (!server_->isOpen()) {
-        run_.handleAttemptFailure(
-                *this, failure(ErrorKind::BackendConnectFailed, "the server is leaving"));
+        request_.handleAttemptFailure(
+                *this,
+                failure(ErrorKind::BackendConnectFailed,
+                        "the backend server is draining or no longer listed"));
         return;
     }
     send();
@@ -69,8 +72,8 @@
 
 void ForwardAttempt::send()
 {
-    connection_->sendHead(run_.makeRequestHead(*server_));
-    connection_->sendBody(run_.bufferedBody());
+    connection_->sendHead(request_.makeRequestHead(*server_));
+    connection_->sendBody(request_.bufferedBody());
     continueBody();
 }
 
@@ -79,8 +82,8 @@
     if (connection_ == nullptr || !connection_->isHandedOver() || isBodyEnded_) {
         return;
     }
-    connection_->sendBody(run_.takeStreamedBody());
-    if (run_.isRequestComplete()) {
+    connection_->sendBody(request_.takeStreamedBody());
+    if (request_.isRequestComplete()) {
         isBodyEnded_ = true;
         connection_->endRequest();
     }
@@ -88,59 +91,59 @@
 
 void ForwardAttempt::takeAnswerHead(HttpHead head)
 {
-    // An answer to an earlier request may come late, where this one's is due.
-    const auto id = head.headers_.find(run_.forwarder().settings().headers_.requestId_);
-    isSkippingAnswer_ = id && *id != run_.requestId();
-    if (isSkippingAnswer_) {
+    // A late response to an earlier request may arrive in place of this one's.
+    const auto id = head.headers_.find(request_.forwarder().settings().headers_.requestId_);
+    isSkippingResponse_ = id && *id != request_.requestId();
+    if (isSkippingResponse_) {
         connection_->skipAnswer();
         return;
     }
-    answerHead_ = std::move(head);
-    hasAnswerHead_ = true;
+    responseHead_ = std::move(head);
+    hasResponseHead_ = true;
 }
 
 void ForwardAttempt::takeAnswerBody(std::string_view data)
 {
-    if (run_.isStreaming(*this)) {
-        run_.streamResponse(*this, data);
+    if (request_.isStreaming(*this)) {
+        request_.streamResponse(*this, data);
         return;
     }
-    answerBody_.append(data);
-    if (answerBody_.size() > answerBufferBytes && run_.startStreaming(*this)) {
-        run_.streamResponse(*this, std::exchange(answerBody_, {}));
+    responseBody_.append(data);
+    if (responseBody_.size() > responseBufferBytes && request_.startStreaming(*this)) {
+        request_.streamResponse(*this, std::exchange(responseBody_, {}));
     }
 }
 
 void ForwardAttempt::takeAnswerEnd()
 {
-    run_.handleAttemptResponse(*this);
+    request_.handleAttemptResponse(*this);
 }
 
 void ForwardAttempt::takeFailure(const Error &error)
 {
-    run_.handleAttemptFailure(*this, error);
+    request_.handleAttemptFailure(*this, error);
 }
 
 void ForwardAttempt::takeSendDrained()
 {
-    run_.sendMoreBody();
+    request_.sendMoreBody();
 }
 
 void ForwardAttempt::finish(AttemptResult result)
 {
     isEnded_ = true;
-    connectTimeout_.reset();
-    server_->endRequest(startedAt_);
-    const bool isWhole = result == AttemptResult::Answered || result == AttemptResult::ServerError
-            || result == AttemptResult::Shed;
-    if (connection_ != nullptr && isWhole && isBodyEnded_) {
+    connectTimer_.reset();
+    server_->endRequest(startTime_);
+    const bool isComplete = result == AttemptResult::Answered
+            || result == AttemptResult::ServerError || result == AttemptResult::Shed;
+    if (connection_ != nullptr && isComplete && isBodyEnded_) {
         server_->returnConnection(std::move(connection_));
     }
     connection_.reset();
     if (result == AttemptResult::Silent || result == AttemptResult::ConnectFailed) {
         server_->closeIdleConnections();
     }
-    run_.forwarder().recordAttempt(*server_, result, elapsed(), run_.isRepeatable());
+    request_.forwarder().recordAttempt(*server_, result, elapsed(), request_.isRepeatable());
 }
 
 } // namespace qz
--- a/packages/qz_forward/requests/forwardattempt.h
+++ b/packages/qz_forward/requests/forwardattempt.h
@@ -1,4 +1,4 @@
-// One send of a request to one backend server.
+// One attempt to send a request to a backend server.
 #pragma once
 
 #include "qz_forward/backends/backend.h"
@@ -13,35 +13,35 @@
 
 class ForwardedRequest;
 
-/// Connects or takes an idle connection, sends, and collects the answer. An answer up to the
-/// buffer limit is held until it is whole, so that one that breaks off can be replaced by
-/// that of another server; a longer one is streamed from then on.
+/// Opens a connection or takes an idle one, sends the request and receives the response. The
+/// response is buffered until it is complete, so that another server can replace a truncated
+/// one. A response that exceeds the buffer is streamed to the caller.
 /// @see ForwardedRequest
 class ForwardAttempt : private BackendConnectionListener
 {
 public:
-    ForwardAttempt(ForwardedRequest &run, std::shared_ptr<Backend> server,
+    ForwardAttempt(ForwardedRequest &request, std::shared_ptr<Backend> server,
                    const Placement &placement);
     ~ForwardAttempt() override;
 
     void start();
 
-    /// More of the request's body can be sent.
+    /// Sends the part of the request's body that has arrived since the last call.
     void continueBody();
-    /// Back pressure from the caller.
+    /// Pauses or resumes reading of the response, as back pressure from the caller.
     void setReading(bool isReading) { connection_->setReading(isReading); }
 
     Backend &server() { return *server_; }
     const Placement &placement() const { return placement_; }
-    const HttpHead &responseHead() const { return answerHead_; }
-    std::string &responseBody() { return answerBody_; }
-    bool hasResponseHead() const { return hasAnswerHead_; }
+    const HttpHead &responseHead() const { return responseHead_; }
+    std::string &responseBody() { return responseBody_; }
+    bool hasResponseHead() const { return hasResponseHead_; }
     bool isHandedOver() const { return connection_ != nullptr && connection_->isHandedOver(); }
     bool isEnded() const { return isEnded_; }
     std::size_t unsentBytes() const { return connection_->unsentBytes(); }
     Duration elapsed() const;
 
-    /// Ends the try; its connection is kept if it may carry another request.
+    /// Ends the attempt; its connection is kept if it may carry another request.
     void finish(AttemptResult result);
 
 private:
@@ -54,17 +54,17 @@
 
     void send();
 
-    ForwardedRequest &run_;
+    ForwardedRequest &request_;
     std::shared_ptr<Backend> server_;
     const Placement placement_;
-    const TimePoint startedAt_;
-    std::unique_ptr<BackendConnection> connection_; ///< Null once the try has ended.
-    Timers::HandlePtr connectTimeout_;
-    HttpHead answerHead_;
-    std::string answerBody_; ///< Empty once the answer is streamed.
-    bool hasAnswerHead_ = false;
-    bool isSkippingAnswer_ = false;
-    bool isBodyEnded_ = false; ///< The whole request was given to the connection.
+    const TimePoint startTime_;
+    std::unique_ptr<BackendConnection> connection_; ///< Null once the attempt has ended.
+    Timers::HandlePtr connectTimer_;
+    HttpHead responseHead_;
+    std::string responseBody_; ///< Empty once the response is streamed.
+    bool hasResponseHead_ = false;
+    bool isSkippingResponse_ = false;
+    bool isBodyEnded_ = false; ///< The whole request has been given to the connection.
     bool isEnded_ = false;
 };
 
--- a/packages/qz_forward/requests/forwardedrequest.cpp
+++ b/packages/qz_forward/requests/forwardedrequest.cpp
@@ -1,4 +1,4 @@
-// The course of one request.
+// Routing, attempts and response of one request.
 #include "qz_forward/requests/forwardedrequest.h"
 
 #include "qz_core/faults/faultpoint.h"
@@ -16,21 +16,22 @@
 
 using namespace std::chrono_literals;
 
-constexpr int firstFailureStatus = 500;
-constexpr int statusMisdirected = 421;
-constexpr int successClass = 2;
-constexpr int connectFailureLimit = 4; ///< Servers that could not be reached, for one request.
-/// Bytes of a body that wait for a slow receiver before reading pauses.
-constexpr std::size_t backlogBytes = std::size_t(256) * 1024;
-/// A second try while the first is silent leaves this part of the budget for failures.
-constexpr double earlyTryBudgetPart = 0.5;
-/// A second try starts after a high quantile of the answer times, within these parts of the
-/// target time.
-constexpr double earliestSecondTry = 0.3;
-constexpr double latestSecondTry = 0.75;
-/// Bounds of what a refused caller is told to wait.
-constexpr Duration shortestRetryAfter = 200ms;
-constexpr Duration longestRetryAfter = 3s;
+constexpr int firstServerErrorStatus = 500;
+constexpr int statusMisdirectedRequest = 421;
+constexpr int successStatusClass = 2;
+/// Failed connection attempts after which a request is not retried.
+constexpr int maxConnectFailures = 4;
+/// Unsent bytes of a body after which reading pauses for a slow receiver.
+constexpr std::size_t maxUnsentBytes = std::size_t(256) * 1024;
+/// Hedged attempts may use this fraction of the retry budget; the rest is kept for failures.
+constexpr double hedgingBudgetFraction = 0.5;
+/// A hedged attempt starts after the 90th percentile of the response times, but not outside this
+/// range. Both bounds are fractions of the target time.
+constexpr double minHedgingDelayFraction = 0.3;
+constexpr double maxHedgingDelayFraction = 0.75;
+/// Bounds of the Retry-After time.
+constexpr Duration minRetryAfter = 200ms;
+constexpr Duration maxRetryAfter = 3s;
 
 Duration scaled(Duration duration, double factor)
 {
@@ -72,7 +73,7 @@
 ForwardedRequest::~ForwardedRequest()
 {
     exchange_->setListener(nullptr);
-    isEnded_ = true; // Tries that end now must not go on with the request.
+    isEnded_ = true; // Attempts that are destroyed now must not continue the request.
 }
 
 void ForwardedRequest::start()
@@ -80,29 +81,29 @@
     routes_ = forwarder_.routes();
     const auto id = exchange_->head().headers_.find(forwarder_.settings().headers_.requestId_);
     requestId_ = id.value_or("");
-    if (!findRoute() || !readDeadline() || !takeRequestBody()) {
+    if (!findRoute() || !readDeadline() || !readRequestBody()) {
         return;
     }
     service_ = forwarder_.chooseService(*route_);
     forwarder_.allowance(service_).countRequest(forwarder_.loop().now());
     const Duration left = deadline_ - forwarder_.loop().now();
-    deadlineTimer_ =
-            forwarder_.loop().callAfter(std::max(left, Duration::zero()), [this] { expire(); });
-    if (!placeNext()) {
-        fail(failure(ErrorKind::NoBackendServer, "no backend server could answer in time"));
+    deadlineTimer_ = forwarder_.loop().callAfter(std::max(left, Duration::zero()),
+                                                 [this] { handleDeadline(); });
+    if (!startNextAttempt()) {
+        fail(failure(ErrorKind::NoBackendServer, "no backend server could respond in time"));
     }
 }
 
 bool ForwardedRequest::findRoute()
 {
     if (routes_ == nullptr) {
-        fail(failure(ErrorKind::RulesNotInForce, "no configuration has been read yet"));
+        fail(failure(ErrorKind::RulesNotInForce, "no configuration has been loaded yet"));
         return false;
     }
     const HttpHead &head = exchange_->head();
     route_ = routes_->find(head.headers_.find("Host").value_or(""), pathOf(head.target_));
     if (route_ == nullptr) {
-        fail(failure(ErrorKind::NoRoute, "no route matches host and path"));
+        fail(failure(ErrorKind::NoRoute, "no route matches the host and path"));
         return false;
     }
     return true;
@@ -117,21 +118,21 @@
     }
     const auto left = parseMilliseconds(*text);
     if (!left) {
-        fail(failure(ErrorKind::BadRequest, "the deadline is not a number of milliseconds"));
+        fail(failure(ErrorKind::BadRequest, "the deadline is not a valid number of milliseconds"));
         return false;
     }
     deadline_ = std::min(deadline_, exchange_->arrivedAt() + *left);
     return true;
 }
 
-bool ForwardedRequest::takeRequestBody()
+bool ForwardedRequest::readRequestBody()
 {
     isBodyStreamed_ = !exchange_->isBodyComplete();
     body_ = exchange_->takeBody();
-    streamedBytes_ = body_.size();
+    receivedBytes_ = body_.size();
     const std::uint64_t limit = routes_->limits().bodyBytes_;
-    if (exchange_->head().length_ > limit || streamedBytes_ > limit) {
-        fail(failure(ErrorKind::RequestTooLarge, "the body is too large"));
+    if (exchange_->head().length_ > limit || receivedBytes_ > limit) {
+        fail(failure(ErrorKind::RequestTooLarge, "the request body is too large"));
         return false;
     }
     return true;
@@ -142,7 +143,8 @@
     const ForwardHeaders &names = forwarder_.settings().headers_;
     HttpHead head = exchange_->head();
     if (const auto connection = head.headers_.find("Connection")) {
-        head.headers_.remove(*connection); // A field that it names is for one connection only.
+        // A header field that Connection names applies to one connection only.
+        head.headers_.remove(*connection);
     }
     head.headers_.remove("Expect");
     const Duration left = deadline_ - forwarder_.loop().now();
@@ -163,7 +165,7 @@
         return {};
     }
     std::string data = exchange_->takeBody();
-    streamedBytes_ += data.size();
+    receivedBytes_ += data.size();
     return data;
 }
 
@@ -175,10 +177,10 @@
 void ForwardedRequest::takeMoreBody()
 {
     if (routes_ == nullptr) {
-        return; // It waits to be started, which takes the body as far as it is here then.
+        return; // The request is deferred; start() takes the body received so far.
     }
-    if (streamedBytes_ + exchange_->body().size() > routes_->limits().bodyBytes_) {
-        fail(failure(ErrorKind::RequestTooLarge, "the body is too large"));
+    if (receivedBytes_ + exchange_->body().size() > routes_->limits().bodyBytes_) {
+        fail(failure(ErrorKind::RequestTooLarge, "the request body is too large"));
         return;
     }
     sendMoreBody();
@@ -186,8 +188,8 @@
 
 void ForwardedRequest::sendMoreBody()
 {
-    for (const auto &attempt : tries_) {
-        if (!attempt->isEnded() && attempt->unsentBytes() < backlogBytes) {
+    for (const auto &attempt : attempts_) {
+        if (!attempt->isEnded() && attempt->unsentBytes() < maxUnsentBytes) {
             attempt->continueBody();
         }
     }
@@ -198,8 +200,8 @@
     const TimePoint now = forwarder_.loop().now();
     const Duration mean = forwarder_.latency(service_).mean(route_->target_);
     std::vector<PlacementCandidate> candidates;
-    candidates.reserve(servers_.size());
-    for (const auto &server : servers_) {
+    candidates.reserve(candidateServers_.size());
+    for (const auto &server : candidateServers_) {
         PlacementCandidate candidate;
         candidate.distance_ =
                 distanceBetween(forwarder_.settings().location_, server->listed().location_);
@@ -213,7 +215,7 @@
         candidate.relativeLatency_ = server->health().relativeLatency(mean);
         candidate.oldestRequestAge_ = server->oldestRequestAge(now);
         candidate.wasAttempted_ =
-                std::any_of(tries_.begin(), tries_.end(), [&server](const auto &attempt) {
+                std::any_of(attempts_.begin(), attempts_.end(), [&server](const auto &attempt) {
                     return &attempt->server() == server.get();
                 });
         candidates.push_back(candidate);
@@ -230,97 +232,99 @@
     const ServiceLatency &latency = forwarder_.latency(service_);
     request.expectedLatency_ = latency.mean(route_->target_);
     if (!latency.hasEnoughSamples()) {
-        // What is only assumed must not be a reason to refuse.
+        // An assumed response time must not be a reason to reject the request.
         request.expectedLatency_ = std::min(request.expectedLatency_, request.timeLeft_ / 2);
     }
-    request.shouldSpread_ = forwarder_.servedShare(service_).failureRate(forwarder_.loop().now())
+    request.shouldSpread_ =
+            forwarder_.failureRateTracker(service_).failureRate(forwarder_.loop().now())
             > spreadFailureRate;
     return request;
 }
 
-std::optional<Placement> ForwardedRequest::choose()
+std::optional<Placement> ForwardedRequest::chooseServer()
 {
-    return choosePlacement(makeCandidates(), makePlacementRequest(), forwarder_.settings().costs_,
-                           forwarder_.loop().now());
+    return choosePlacement(makeCandidates(), makePlacementRequest(),
+                           forwarder_.settings().placement_, forwarder_.loop().now());
 }
 
-bool ForwardedRequest::placeNext()
+bool ForwardedRequest::startNextAttempt()
 {
-    servers_.clear();
+    candidateServers_.clear();
     for (const auto &server : forwarder_.backends().serversOf(service_)) {
         if (server->isOpen()) {
-            servers_.push_back(server);
+            candidateServers_.push_back(server);
         }
     }
-    // Instances must not all prefer the same ones.
-    std::shuffle(servers_.begin(), servers_.end(), forwarder_.random());
-    const auto placement = choose();
+    // A random order, so that not all instances prefer the same servers.
+    std::shuffle(candidateServers_.begin(), candidateServers_.end(), forwarder_.random());
+    const auto placement = chooseServer();
     if (!placement) {
         return false;
     }
-    launch(*placement);
+    startAttempt(*placement);
     return true;
 }
 
-void ForwardedRequest::launch(const Placement &placement)
+void ForwardedRequest::startAttempt(const Placement &placement)
 {
-    tries_.push_back(
-            std::make_unique<ForwardAttempt>(*this, servers_[placement.index_], placement));
-    armSecondTry();
-    tries_.back()->start();
+    attempts_.push_back(std::make_unique<ForwardAttempt>(*this, candidateServers_[placement.index_],
+                                                         placement));
+    scheduleHedging();
+    attempts_.back()->start();
 }
 
-void ForwardedRequest::armSecondTry()
+void ForwardedRequest::scheduleHedging()
 {
-    if (!route_->isRepeatable_ || isBodyStreamed_ || sentCount_ + 1 >= route_->maxAttempts_) {
+    if (!route_->isRepeatable_ || isBodyStreamed_ || sentAttempts_ + 1 >= route_->maxAttempts_) {
         return;
     }
     const Duration percentile90 = forwarder_.latency(service_).percentile90(route_->target_);
-    const Duration delay = std::clamp(percentile90, scaled(route_->target_, earliestSecondTry),
-                                      scaled(route_->target_, latestSecondTry));
-    secondTryTimer_ = forwarder_.loop().callAfter(delay, [this] { trySecond(); });
+    const Duration delay =
+            std::clamp(percentile90, scaled(route_->target_, minHedgingDelayFraction),
+                       scaled(route_->target_, maxHedgingDelayFraction));
+    hedgingTimer_ = forwarder_.loop().callAfter(delay, [this] { startHedgedAttempt(); });
 }
 
-bool ForwardedRequest::hasRunningTry() const
+bool ForwardedRequest::hasActiveAttempt() const
 {
-    return std::any_of(tries_.begin(), tries_.end(),
+    return std::any_of(attempts_.begin(), attempts_.end(),
                        [](const auto &attempt) { return !attempt->isEnded(); });
 }
 
-void ForwardedRequest::trySecond()
+void ForwardedRequest::startHedgedAttempt()
 {
-    secondTryTimer_.reset();
-    int running = 0;
-    for (const auto &attempt : tries_) {
-        running += attempt->isEnded() ? 0 : 1;
+    hedgingTimer_.reset();
+    int activeAttempts = 0;
+    for (const auto &attempt : attempts_) {
+        activeAttempts += attempt->isEnded() ? 0 : 1;
     }
-    if (isEnded_ || streaming_ != nullptr || sentCount_ + running >= route_->maxAttempts_) {
+    if (isEnded_ || streamingAttempt_ != nullptr
+        || sentAttempts_ + activeAttempts >= route_->maxAttempts_) {
         return;
     }
     const TimePoint now = forwarder_.loop().now();
     RetryAllowance &allowance = forwarder_.allowance(service_);
-    if (allowance.usedShare(now) > earlyTryBudgetPart || !allowance.tryAcquire(now)) {
+    if (allowance.usedShare(now) > hedgingBudgetFraction || !allowance.tryAcquire(now)) {
         return;
     }
-    placeNext();
+    startNextAttempt();
 }
 
-bool ForwardedRequest::mayTryAgain() const
+bool ForwardedRequest::canRetry() const
 {
-    return !isEnded_ && sentCount_ < route_->maxAttempts_ && connectFailures_ < connectFailureLimit
-            && !(isBodyStreamed_ && sentCount_ > 0);
+    return !isEnded_ && sentAttempts_ < route_->maxAttempts_
+            && connectFailures_ < maxConnectFailures && !(isBodyStreamed_ && sentAttempts_ > 0);
 }
 
-void ForwardedRequest::tryAgainOrFail(const Error &error)
+void ForwardedRequest::retryOrFail(const Error &error)
 {
-    if (hasRunningTry()) {
+    if (hasActiveAttempt()) {
         return;
     }
-    const bool isSecondArrival = sentCount_ > 0;
-    const bool isAllowed = mayTryAgain()
-            && (!isSecondArrival
-                || forwarder_.allowance(service_).tryAcquire(forwarder_.loop().now()));
-    if (!isAllowed || !placeNext()) {
+    const bool isRetry = sentAttempts_ > 0;
+    const bool isAllowed = canRetry()
+            && (!isRetry || forwarder_.allowance(service_).tryAcquire(forwarder_.loop().now()));
+    if (!isAllowed || !startNextAttempt()) {
         fail(error);
     }
 }
@@ -329,19 +333,20 @@
 {
     const ForwardHeaders &names = forwarder_.settings().headers_;
     const HttpHead &head = attempt.responseHead();
-    if (head.status_ == statusMisdirected) {
+    if (head.status_ == statusMisdirectedRequest) {
         return AttemptResult::WrongInstance;
     }
     if (head.headers_.find(names.notRun_)) {
         return AttemptResult::Shed;
     }
-    if (head.status_ >= firstFailureStatus) {
+    if (head.status_ >= firstServerErrorStatus) {
         return AttemptResult::ServerError;
     }
-    // A success without signature or id is not this server's answer to this request.
-    const bool isOwn = head.headers_.find(names.seal_) && head.headers_.find(names.requestId_);
-    return head.status_ / 100 == successClass && !isOwn ? AttemptResult::Cut
-                                                        : AttemptResult::Answered;
+    // A success without a signature or request id is not this server's response to this request.
+    const bool isAuthentic =
+            head.headers_.find(names.seal_) && head.headers_.find(names.requestId_);
+    return head.status_ / 100 == successStatusClass && !isAuthentic ? AttemptResult::Cut
+                                                                    : AttemptResult::Answered;
 }
 
 void ForwardedRequest::handleAttemptResponse(ForwardAttempt &attempt)
@@ -351,39 +356,41 @@
     }
     if (isStreaming(attempt)) {
         exchange_->endReply();
-        endTry(attempt, AttemptResult::Answered, "streamed");
-        end("answered", attempt.responseHead().status_, "");
+        endAttempt(attempt, AttemptResult::Answered, "streamed");
+        finish("answered", attempt.responseHead().status_, "");
         return;
     }
     const AttemptResult result = classify(attempt);
     const std::string status = std::to_string(attempt.responseHead().status_);
     switch (result) {
     case AttemptResult::Answered:
-        deliver(attempt);
+        sendResponse(attempt);
         return;
     case AttemptResult::ServerError:
         mayHaveRun_ = true;
-        if (route_->isRepeatable_ && mayTryAgain() && sentCount_ + 1 < route_->maxAttempts_
+        if (route_->isRepeatable_ && canRetry() && sentAttempts_ + 1 < route_->maxAttempts_
             && forwarder_.allowance(service_).tryAcquire(forwarder_.loop().now())) {
-            endTry(attempt, result, status);
-            if (hasRunningTry() || placeNext()) {
+            endAttempt(attempt, result, status);
+            if (hasActiveAttempt() || startNextAttempt()) {
                 return;
             }
         }
-        deliver(attempt);
+        sendResponse(attempt);
         return;
     case AttemptResult::Shed:
     case AttemptResult::WrongInstance:
-        endTry(attempt, result, status);
-        tryAgainOrFail(failure(ErrorKind::BackendShed, "the backend servers are full"));
+        endAttempt(attempt, result, status);
+        retryOrFail(failure(ErrorKind::BackendShed,
+                            "the backend servers rejected the request without running it"));
         return;
     default:
         mayHaveRun_ = true;
-        endTry(attempt, result, "no proper answer");
+        endAttempt(attempt, result, "invalid response");
         if (route_->isRepeatable_) {
-            tryAgainOrFail(failure(ErrorKind::BackendCut, "the answer was no proper one"));
+            retryOrFail(
+                    failure(ErrorKind::BackendCut, "the backend server sent an invalid response"));
         } else {
-            fail(failure(ErrorKind::BackendCut, "the answer was no proper one"));
+            fail(failure(ErrorKind::BackendCut, "the backend server sent an invalid response"));
         }
     }
 }
@@ -396,20 +403,20 @@
     const bool isHandedOver = attempt.isHandedOver();
     const AttemptResult sentResult =
             error.kind_ == ErrorKind::BackendTimeout ? AttemptResult::Silent : AttemptResult::Cut;
-    endTry(attempt, isHandedOver ? sentResult : AttemptResult::ConnectFailed, error.message_);
-    if (streaming_ == &attempt) {
+    endAttempt(attempt, isHandedOver ? sentResult : AttemptResult::ConnectFailed, error.message_);
+    if (streamingAttempt_ == &attempt) {
         exchange_->cut();
-        end("cut", 0, error.message_);
+        finish("cut", 0, error.message_);
         return;
     }
     if (!isHandedOver) {
         ++connectFailures_;
-        tryAgainOrFail(failure(ErrorKind::BackendConnectFailed, error.message_));
+        retryOrFail(failure(ErrorKind::BackendConnectFailed, error.message_));
         return;
     }
     mayHaveRun_ = true;
     if (route_->isRepeatable_ || isFaultInjected(FaultPoint::OnceResent)) {
-        tryAgainOrFail(error);
+        retryOrFail(error);
     } else {
         fail(error);
     }
@@ -417,11 +424,11 @@
 
 bool ForwardedRequest::startStreaming(ForwardAttempt &attempt)
 {
-    if (streaming_ != nullptr || isEnded_ || classify(attempt) != AttemptResult::Answered) {
+    if (streamingAttempt_ != nullptr || isEnded_ || classify(attempt) != AttemptResult::Answered) {
         return false;
     }
-    streaming_ = &attempt;
-    secondTryTimer_.reset();
+    streamingAttempt_ = &attempt;
+    hedgingTimer_.reset();
     deadlineTimer_.reset();
     HttpHead head = attempt.responseHead();
     if (head.framing_ == BodyFraming::UntilClose) {
@@ -434,19 +441,19 @@
 void ForwardedRequest::streamResponse(ForwardAttempt &attempt, std::string_view data)
 {
     exchange_->sendBody(data);
-    if (exchange_->unsentBytes() > backlogBytes) {
+    if (exchange_->unsentBytes() > maxUnsentBytes) {
         attempt.setReading(false);
     }
 }
 
 void ForwardedRequest::takeDrained()
 {
-    if (streaming_ != nullptr && !isEnded_) {
-        streaming_->setReading(true);
+    if (streamingAttempt_ != nullptr && !isEnded_) {
+        streamingAttempt_->setReading(true);
     }
 }
 
-void ForwardedRequest::deliver(ForwardAttempt &attempt)
+void ForwardedRequest::sendResponse(ForwardAttempt &attempt)
 {
     HttpHead head = attempt.responseHead();
     const int status = head.status_;
@@ -457,24 +464,24 @@
         exchange_->reply(std::move(head), attempt.responseBody());
     }
     if (!attempt.isEnded()) {
-        endTry(attempt, classify(attempt), std::to_string(status));
+        endAttempt(attempt, classify(attempt), std::to_string(status));
     }
-    endOtherTries(AttemptResult::Overtaken);
-    end("answered", status, "");
+    endActiveAttempts(AttemptResult::Overtaken);
+    finish("answered", status, "");
 }
 
-void ForwardedRequest::expire()
+void ForwardedRequest::handleDeadline()
 {
     if (isEnded_) {
         return;
     }
-    bool isSent = false;
-    for (const auto &attempt : tries_) {
-        isSent = isSent || (!attempt->isEnded() && attempt->isHandedOver());
+    bool isAnySent = false;
+    for (const auto &attempt : attempts_) {
+        isAnySent = isAnySent || (!attempt->isEnded() && attempt->isHandedOver());
     }
-    mayHaveRun_ = mayHaveRun_ || isSent;
-    endOtherTries(AttemptResult::TimedOut);
-    fail(failure(ErrorKind::BackendTimeout, "no answer in the time that the request had"));
+    mayHaveRun_ = mayHaveRun_ || isAnySent;
+    endActiveAttempts(AttemptResult::TimedOut);
+    fail(failure(ErrorKind::BackendTimeout, "no response before the request's deadline"));
 }
 
 void ForwardedRequest::takeCallerGone()
@@ -482,51 +489,51 @@
     if (isEnded_) {
         return;
     }
-    endOtherTries(AttemptResult::Cancelled);
-    end("caller-gone", 0, "the caller closed its connection");
+    endActiveAttempts(AttemptResult::Cancelled);
+    finish("caller-gone", 0, "the caller closed its connection");
 }
 
-void ForwardedRequest::endTry(ForwardAttempt &attempt, AttemptResult result,
-                              const std::string &detail)
+void ForwardedRequest::endAttempt(ForwardAttempt &attempt, AttemptResult result,
+                                  const std::string &detail)
 {
     const bool isSent = attempt.isHandedOver();
-    sentCount_ += isSent ? 1 : 0;
-    tryLog_.push_back({ { "server", attempt.server().listed().id_.value() },
-                        { "distance",
-                          toString(distanceBetween(forwarder_.settings().location_,
-                                                   attempt.server().listed().location_)) },
-                        { "trial", attempt.placement().isTrial_ },
-                        { "expected_ms", toMilliseconds(attempt.placement().expectedLatency_) },
-                        { "in_flight", attempt.server().inFlight() },
-                        { "sent", isSent },
-                        { "took_ms", toMilliseconds(attempt.elapsed()) },
-                        { "result", toString(result) },
-                        { "detail", detail } });
+    sentAttempts_ += isSent ? 1 : 0;
+    attemptLog_.push_back({ { "server", attempt.server().listed().id_.value() },
+                            { "distance",
+                              toString(distanceBetween(forwarder_.settings().location_,
+                                                       attempt.server().listed().location_)) },
+                            { "trial", attempt.placement().isTrial_ },
+                            { "expected_ms", toMilliseconds(attempt.placement().expectedLatency_) },
+                            { "in_flight", attempt.server().inFlight() },
+                            { "sent", isSent },
+                            { "took_ms", toMilliseconds(attempt.elapsed()) },
+                            { "result", toString(result) },
+                            { "detail", detail } });
     attempt.finish(result);
 }
 
-void ForwardedRequest::endOtherTries(AttemptResult result)
+void ForwardedRequest::endActiveAttempts(AttemptResult result)
 {
-    for (const auto &attempt : tries_) {
+    for (const auto &attempt : attempts_) {
         if (!attempt->isEnded()) {
-            endTry(*attempt, attempt->isHandedOver() ? result : AttemptResult::Cancelled, "");
+            endAttempt(*attempt, attempt->isHandedOver() ? result : AttemptResult::Cancelled, "");
         }
     }
 }
 
 Duration ForwardedRequest::retryAfter() const
 {
-    Duration wait = shortestRetryAfter;
+    Duration wait = minRetryAfter;
     if (route_ != nullptr) {
         wait = std::max(wait, forwarder_.latency(service_).mean(route_->target_));
     }
     std::uniform_real_distribution<double> spread(0.75, 1.25);
-    return std::min(scaled(wait, spread(forwarder_.random())), longestRetryAfter);
+    return std::min(scaled(wait, spread(forwarder_.random())), maxRetryAfter);
 }
 
 void ForwardedRequest::fail(const Error &error)
 {
-    endOtherTries(AttemptResult::Cancelled);
+    endActiveAttempts(AttemptResult::Cancelled);
     const bool isNotRun = !mayHaveRun_ || isFaultInjected(FaultPoint::NotRunGuessed);
     ErrorKind kind = error.kind_;
     if (isNotRun && kind == ErrorKind::BackendTimeout) {
@@ -545,33 +552,35 @@
     }
     const int status = head.status_;
     exchange_->reply(std::move(head), error.message_ + "\n");
-    end(isNotRun ? "not-run" : "unknown", status,
-        std::string(toString(kind)) + ": " + error.message_);
+    finish(isNotRun ? "not-run" : "unknown", status,
+           std::string(toString(kind)) + ": " + error.message_);
 }
 
-void ForwardedRequest::end(const std::string &outcome, int status, const std::string &cause)
+void ForwardedRequest::finish(const std::string &outcome, int status, const std::string &cause)
 {
     isEnded_ = true;
     deadlineTimer_.reset();
-    secondTryTimer_.reset();
-    const Duration took = forwarder_.loop().now() - exchange_->arrivedAt();
-    forwarder_.metrics().countRequest(service_.value(), outcome, took);
-    const bool isFine = outcome == "answered" && status < firstFailureStatus;
-    // A failed trial says nothing of the servers in use, and must not lead to more trials.
-    const bool isLostTrial = !isFine && !tries_.empty() && tries_.back()->placement().isTrial_;
-    if (route_ != nullptr && outcome != "caller-gone" && !isLostTrial) {
-        forwarder_.servedShare(service_).record(isFine, forwarder_.loop().now());
+    hedgingTimer_.reset();
+    const Duration elapsed = forwarder_.loop().now() - exchange_->arrivedAt();
+    forwarder_.metrics().countRequest(service_.value(), outcome, elapsed);
+    const bool isSuccess = outcome == "answered" && status < firstServerErrorStatus;
+    // A failed trial says nothing about the servers in use and must not cause more trials.
+    const bool isFailedTrial =
+            !isSuccess && !attempts_.empty() && attempts_.back()->placement().isTrial_;
+    if (route_ != nullptr && outcome != "caller-gone" && !isFailedTrial) {
+        forwarder_.failureRateTracker(service_).record(isSuccess, forwarder_.loop().now());
     }
     if (isLogged(LogLevel::Info)) {
-        // Two events, so that a flood of answered requests leaves room for the others' lines.
-        log(LogLevel::Info, isFine ? "request-answered" : "request-failed",
+        // Two events, so that the log limit reached by many successful requests does not
+        // suppress the lines about failed ones.
+        log(LogLevel::Info, isSuccess ? "request-answered" : "request-failed",
             { { "request", requestId_ },
               { "route", route_ == nullptr ? "" : route_->name_ },
               { "service", service_.value() },
               { "config_version", routes_ == nullptr ? 0 : routes_->version() },
-              { "servers_listed", servers_.size() },
-              { "tries", std::move(tryLog_) },
-              { "took_ms", toMilliseconds(took) },
+              { "servers_listed", candidateServers_.size() },
+              { "tries", std::move(attemptLog_) },
+              { "took_ms", toMilliseconds(elapsed) },
               { "status", status },
               { "outcome", outcome },
               { "cause", cause } });
--- a/packages/qz_forward/requests/forwardedrequest.h
+++ b/packages/qz_forward/requests/forwardedrequest.h
@@ -1,4 +1,4 @@
-// One caller's request from its arrival to its answer.
+// One caller's request, from its arrival to the end of its response.
 #pragma once
 
 #include "qz_forward/requests/forwardattempt.h"
@@ -15,13 +15,13 @@
 
 namespace qz {
 
-/// Finds the route, places the request, tries it again where that is safe, and answers.
+/// Finds the route, chooses a backend server, retries where that is safe, and responds.
 ///
 /// A request that is not repeatable is never sent again once a byte of it was given to a
-/// connection, unless the backend server said that it has not run it. A repeatable one may
-/// be sent to a second server, also while the first is silent, within the route's attempts
-/// and the retry budget. "Not run" is only told if each server that the request was sent to
-/// said so.
+/// connection, unless the backend server reported that it was not run. A repeatable request may
+/// be sent to another server, even while the first one has not responded yet (hedging), within
+/// the route's number of attempts and the retry budget. The caller gets the outcome "not run"
+/// only if each server that got the request reported that it was not run.
 /// @see Forwarder, ForwardAttempt
 class ForwardedRequest : private CallerExchangeListener
 {
@@ -29,22 +29,31 @@
     ForwardedRequest(Forwarder &forwarder, std::shared_ptr<CallerExchange> exchange);
     ~ForwardedRequest() override;
 
-    /// Finds the route among those that are in force now, and places the request.
+    /// Finds the route in the current routing table and starts the first attempt.
     void start();
 
-    // For ForwardAttempt.
+    // Used by ForwardAttempt.
     Forwarder &forwarder() { return forwarder_; }
     const std::string &requestId() const { return requestId_; }
     bool isRepeatable() const { return route_->isRepeatable_; }
+    /// Returns the request head to send to @p server.
     HttpHead makeRequestHead(const Backend &server) const;
+    /// Returns the part of the body that had arrived when the request was started.
     const std::string &bufferedBody() const { return body_; }
+    /// Returns the data of a streamed body that arrived since the last call.
     std::string takeStreamedBody();
+    /// Returns whether the whole body has arrived and was taken.
     bool isRequestComplete() const;
+    /// Lets the attempts send the body data that has arrived.
     void sendMoreBody();
-    bool isStreaming(const ForwardAttempt &attempt) const { return streaming_ == &attempt; }
+    bool isStreaming(const ForwardAttempt &attempt) const { return streamingAttempt_ == &attempt; }
+    /// Starts to pass on the response of @p attempt while it arrives. Returns false, without any
+    /// effect, if this response must not be streamed.
     bool startStreaming(ForwardAttempt &attempt);
     void streamResponse(ForwardAttempt &attempt, std::string_view data);
+    /// Handles the complete response of @p attempt.
     void handleAttemptResponse(ForwardAttempt &attempt);
+    /// Handles the failure of @p attempt before its response was complete.
     void handleAttemptFailure(ForwardAttempt &attempt, const Error &error);
 
 private:
@@ -54,46 +63,48 @@
 
     bool findRoute();
     bool readDeadline();
-    bool takeRequestBody();
+    bool readRequestBody();
     std::vector<PlacementCandidate> makeCandidates() const;
     PlacementRequest makePlacementRequest();
-    std::optional<Placement> choose();
-    bool placeNext();
-    void launch(const Placement &placement);
-    bool mayTryAgain() const;
-    void tryAgainOrFail(const Error &error);
-    void armSecondTry();
-    void trySecond();
-    void expire();
+    std::optional<Placement> chooseServer();
+    bool startNextAttempt();
+    void startAttempt(const Placement &placement);
+    bool canRetry() const;
+    void retryOrFail(const Error &error);
+    void scheduleHedging();
+    void startHedgedAttempt();
+    void handleDeadline();
     AttemptResult classify(const ForwardAttempt &attempt) const;
-    void deliver(ForwardAttempt &attempt);
+    void sendResponse(ForwardAttempt &attempt);
     void fail(const Error &error);
     Duration retryAfter() const;
-    bool hasRunningTry() const;
-    void endTry(ForwardAttempt &attempt, AttemptResult result, const std::string &detail);
-    void endOtherTries(AttemptResult result);
-    void end(const std::string &outcome, int status, const std::string &cause);
+    bool hasActiveAttempt() const;
+    void endAttempt(ForwardAttempt &attempt, AttemptResult result, const std::string &detail);
+    void endActiveAttempts(AttemptResult result);
+    void finish(const std::string &outcome, int status, const std::string &cause);
 
     Forwarder &forwarder_;
     const std::shared_ptr<CallerExchange> exchange_;
-    std::shared_ptr<const RoutingTable> routes_; ///< Of the time of the start; null before.
-    const RequestRoute *route_ = nullptr;        ///< In routes_.
+    std::shared_ptr<const RoutingTable> routes_; ///< Null until the request is started.
+    const RequestRoute *route_ = nullptr;        ///< Points into routes_.
     ServiceId service_;
     std::string requestId_;
-    std::string body_; ///< The body, or its start if it is streamed.
-    std::uint64_t streamedBytes_ = 0;
-    bool isBodyStreamed_ = false; ///< The request cannot be sent a second time.
+    std::string body_;                ///< The body, or its beginning if it is streamed.
+    std::uint64_t receivedBytes_ = 0; ///< Size of the body received so far.
+    /// The body arrives while it is sent, so the request cannot be sent a second time.
+    bool isBodyStreamed_ = false;
     TimePoint deadline_;
-    std::vector<std::shared_ptr<Backend>> servers_; ///< Of the last choice.
-    std::vector<std::unique_ptr<ForwardAttempt>> tries_;
-    ForwardAttempt *streaming_ = nullptr; ///< Its answer goes to the caller as it comes.
-    int sentCount_ = 0;                   ///< Tries that gave bytes to a connection and have ended.
+    std::vector<std::shared_ptr<Backend>> candidateServers_; ///< Servers for the latest attempt.
+    std::vector<std::unique_ptr<ForwardAttempt>> attempts_;
+    /// The attempt whose response is passed on to the caller while it arrives.
+    ForwardAttempt *streamingAttempt_ = nullptr;
+    int sentAttempts_ = 0; ///< Ended attempts that had given bytes to a connection.
     int connectFailures_ = 0;
-    bool mayHaveRun_ = false; ///< A server got the request and did not deny running it.
+    bool mayHaveRun_ = false; ///< A server got the request and did not report it as not run.
     bool isEnded_ = false;
-    nlohmann::json tryLog_ = nlohmann::json::array();
+    nlohmann::json attemptLog_ = nlohmann::json::array();
     Timers::HandlePtr deadlineTimer_;
-    Timers::HandlePtr secondTryTimer_;
+    Timers::HandlePtr hedgingTimer_;
 };
 
 } // namespace qz
--- a/packages/qz_forward/requests/forwarder.cpp
+++ b/packages/qz_forward/requests/forwarder.cpp
@@ -1,4 +1,4 @@
-// What the requests of an instance share.
+// State that the requests of an instance share.
 #include "qz_forward/requests/forwarder.h"
 
 #include "qz_core/logging/logger.h"
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// Requests that wait after a start; a few kilobytes each.
-constexpr std::size_t waitingLimit = 500;
+/// Number of requests that can be deferred after a start; each takes a few kilobytes.
+constexpr std::size_t maxDeferredRequests = 500;
 
 } // namespace
 
@@ -43,59 +43,60 @@
 
 void Forwarder::deferRequests(Duration limit)
 {
-    waitEnd_ = loop_.callAfter(limit, [this] { startDeferredRequests(); });
+    deferralTimer_ = loop_.callAfter(limit, [this] { startDeferredRequests(); });
 }
 
 void Forwarder::startDeferredRequests()
 {
-    waitEnd_.reset();
-    for (ForwardedRequest *run : std::exchange(waiting_, {})) {
-        run->start();
+    deferralTimer_.reset();
+    for (ForwardedRequest *request : std::exchange(deferred_, {})) {
+        request->start();
     }
 }
 
 void Forwarder::handle(const std::shared_ptr<CallerExchange> &exchange)
 {
     auto owned = std::make_unique<ForwardedRequest>(*this, exchange);
-    ForwardedRequest &run = *owned;
-    runs_.emplace(&run, std::move(owned));
-    if (waitEnd_ != nullptr && waiting_.size() < waitingLimit) {
-        waiting_.push_back(&run);
+    ForwardedRequest &request = *owned;
+    requests_.emplace(&request, std::move(owned));
+    if (deferralTimer_ != nullptr && deferred_.size() < maxDeferredRequests) {
+        deferred_.push_back(&request);
     } else {
-        run.start();
+        request.start();
     }
 }
 
 ServerRole Forwarder::serverRole(const Backend &server) const
 {
-    return dutyFinder_ ? dutyFinder_(server) : ServerRole::Owner;
+    return serverRoleProvider_ ? serverRoleProvider_(server) : ServerRole::Owner;
 }
 
-void Forwarder::recordAttempt(Backend &server, AttemptResult result, Duration took,
+void Forwarder::recordAttempt(Backend &server, AttemptResult result, Duration elapsed,
                               bool isRepeatable)
 {
     const TimePoint now = loop_.now();
-    const auto before = server.health().state(now);
+    const auto previousState = server.health().state(now);
     const ServiceId &service = server.listed().service_;
     metrics_.countAttempt(service.value(), result);
     if (result == AttemptResult::Answered) {
-        latencies_[service].record(took, now);
+        latencies_[service].record(elapsed, now);
     }
-    if (server.health().record(result, took, isRepeatable, now)) {
-        const Duration hold = server.health().ejectedUntil() - now;
+    if (server.health().record(result, elapsed, isRepeatable, now)) {
+        const Duration ejectionTime = server.health().ejectedUntil() - now;
         metrics_.countEjection(service.value());
         log(LogLevel::Info, "server-held",
             { { "server", server.listed().id_.value() },
               { "service", service.value() },
               { "cause", toString(result) },
-              { "hold_ms", std::chrono::duration_cast<std::chrono::milliseconds>(hold).count() },
+              { "hold_ms",
+                std::chrono::duration_cast<std::chrono::milliseconds>(ejectionTime).count() },
               { "in_flight", server.inFlight() } });
         if (healthListener_ && isServerFault(result)) {
-            healthListener_(server, hold);
+            healthListener_(server, ejectionTime);
         }
         return;
     }
-    if (before != ServerHealth::State::Good
+    if (previousState != ServerHealth::State::Good
         && server.health().state(now) == ServerHealth::State::Good) {
         log(LogLevel::Info, "server-recovered",
             { { "server", server.listed().id_.value() }, { "service", service.value() } });
@@ -105,15 +106,15 @@
     }
 }
 
-void Forwarder::deleteLater(ForwardedRequest *run)
+void Forwarder::deleteLater(ForwardedRequest *request)
 {
-    ended_.insert(run);
-    waiting_.erase(std::remove(waiting_.begin(), waiting_.end(), run), waiting_.end());
-    if (drop_ == nullptr) {
-        drop_ = loop_.callAfter(Duration::zero(), [this] {
-            drop_.reset();
+    ended_.insert(request);
+    deferred_.erase(std::remove(deferred_.begin(), deferred_.end(), request), deferred_.end());
+    if (deletionTimer_ == nullptr) {
+        deletionTimer_ = loop_.callAfter(Duration::zero(), [this] {
+            deletionTimer_.reset();
             for (ForwardedRequest *ended : std::exchange(ended_, {})) {
-                runs_.erase(ended);
+                requests_.erase(ended);
             }
         });
     }
--- a/packages/qz_forward/requests/forwarder.h
+++ b/packages/qz_forward/requests/forwarder.h
@@ -1,4 +1,4 @@
-// Takes callers' requests and runs each to its answer.
+// Forwards callers' requests to backend servers.
 #pragma once
 
 #include "qz_core/loop/eventloop.h"
@@ -20,28 +20,28 @@
 
 class ForwardedRequest;
 
-/// What the forwarding of requests is set to.
+/// Settings for the forwarding of requests.
 struct ForwardSettings
 {
-    Location location_; ///< Of this instance.
+    Location location_; ///< Location of this instance.
     ForwardHeaders headers_;
     RetryBudgetLimits retryBudget_;
-    PlacementSettings costs_;
-    /// Ends a connection to a backend server that went silent.
+    PlacementSettings placement_;
+    /// A connection is closed if the backend server's host does not respond to TCP for this long.
     Duration silenceLimit_ = std::chrono::seconds(2);
-    /// For a new connection to a backend server; another one is tried then.
+    /// Time limit for opening a connection; on expiry the request goes to another server.
     Duration connectTimeout_ = std::chrono::milliseconds(300);
 };
 
-/// The requests of one instance, with what they share: the routes in force, the backend
-/// servers, latencies and retry budgets by service.
+/// Owns the requests in progress of one instance and the state that they share: the current
+/// routes, the backend servers, and latencies and retry budgets by service.
 /// @see ForwardedRequest
 class Forwarder
 {
 public:
-    /// Runs when this instance starts to hold a server, with the length of the hold, or
-    /// when a server on trial has recovered, with zero.
-    using HealthListener = std::function<void(const Backend &server, Duration hold)>;
+    /// Called with the ejection time when this instance ejects a server, or with zero when a
+    /// server on trial has recovered.
+    using HealthListener = std::function<void(const Backend &server, Duration ejectionTime)>;
 
     Forwarder(EventLoop &loop, ForwardSettings settings, BackendTable &backends,
               ForwardMetrics &metrics);
@@ -49,29 +49,34 @@
     Forwarder(const Forwarder &) = delete;
     Forwarder &operator=(const Forwarder &) = delete;
 
-    /// The routes of requests that come from now on.
+    /// Sets the routes for requests that start from now on.
     void setRoutes(std::shared_ptr<const RoutingTable> routes) { routes_ = std::move(routes); }
     const std::shared_ptr<const RoutingTable> &routes() const { return routes_; }
 
-    /// Tells this instance's duty for a server; without it, it owns each.
+    /// Returns this instance's role for a server. If none is set, the instance owns each server.
     using ServerRoleProvider = std::function<ServerRole(const Backend &server)>;
-    void setServerRoleProvider(ServerRoleProvider finder) { dutyFinder_ = std::move(finder); }
+    void setServerRoleProvider(ServerRoleProvider provider)
+    {
+        serverRoleProvider_ = std::move(provider);
+    }
 
     void setHealthListener(HealthListener listener) { healthListener_ = std::move(listener); }
 
-    /// This instance's part of the slack of retry budgets. @see RetryAllowance
+    /// Sets this instance's share of the slack of the retry budgets. @see RetryAllowance
     void setSlackPart(double slackPart);
 
-    /// Requests that come from now on wait for startDeferredRequests(), or until @p limit has
-    /// passed: the instance has just started, and routes and servers are on their way.
+    /// Defers new requests until startDeferredRequests() is called or @p limit has passed. Used
+    /// right after a start, while routes and backend servers are being loaded.
     void deferRequests(Duration limit);
     void startDeferredRequests();
 
+    /// Takes over a caller's request and forwards it.
     void handle(const std::shared_ptr<CallerExchange> &exchange);
 
-    std::size_t activeRequestCount() const { return runs_.size(); }
+    /// Returns the number of requests in progress, including deferred ones.
+    std::size_t activeRequestCount() const { return requests_.size(); }
 
-    // For ForwardedRequest.
+    // Used by ForwardedRequest and ForwardAttempt.
     EventLoop &loop() { return loop_; }
     const ForwardSettings &settings() const { return settings_; }
     ForwardMetrics &metrics() { return metrics_; }
@@ -83,30 +88,35 @@
     ServiceLatency &latency(const ServiceId &service) { return latencies_[service]; }
     RetryAllowance &allowance(const ServiceId &service);
     std::mt19937_64 &random() { return random_; }
-    FailureRateTracker &servedShare(const ServiceId &service) { return servedShares_[service]; }
-    void recordAttempt(Backend &server, AttemptResult result, Duration took, bool isRepeatable);
+    FailureRateTracker &failureRateTracker(const ServiceId &service)
+    {
+        return failureRateTrackers_[service];
+    }
+    /// Records how an attempt at @p server ended after @p elapsed.
+    void recordAttempt(Backend &server, AttemptResult result, Duration elapsed, bool isRepeatable);
     ServerRole serverRole(const Backend &server) const;
-    void deleteLater(ForwardedRequest *run);
+    /// Deletes an ended request on the loop's next turn.
+    void deleteLater(ForwardedRequest *request);
 
 private:
     EventLoop &loop_;
     const ForwardSettings settings_;
     BackendTable &backends_;
     ForwardMetrics &metrics_;
-    std::shared_ptr<const RoutingTable> routes_; ///< Null: no configuration was seen yet.
+    std::shared_ptr<const RoutingTable> routes_; ///< Null until a configuration was received.
     TrafficSplit split_;
     std::map<ServiceId, ServiceLatency> latencies_;
     std::map<ServiceId, RetryAllowance> allowances_;
     double slackPart_ = 0.0;
-    std::map<ServiceId, FailureRateTracker> servedShares_;
+    std::map<ServiceId, FailureRateTracker> failureRateTrackers_;
     HealthListener healthListener_;
-    ServerRoleProvider dutyFinder_;
+    ServerRoleProvider serverRoleProvider_;
     std::mt19937_64 random_;
-    std::map<ForwardedRequest *, std::unique_ptr<ForwardedRequest>> runs_;
-    std::vector<ForwardedRequest *> waiting_; ///< In runs_, not started.
-    Timers::HandlePtr waitEnd_;               ///< Set while requests wait.
-    std::set<ForwardedRequest *> ended_;      ///< Dropped on the loop's next turn.
-    Timers::HandlePtr drop_;
+    std::map<ForwardedRequest *, std::unique_ptr<ForwardedRequest>> requests_;
+    std::vector<ForwardedRequest *> deferred_; ///< Requests that have not been started.
+    Timers::HandlePtr deferralTimer_;          ///< Set while new requests are deferred.
+    std::set<ForwardedRequest *> ended_;       ///< Requests to be deleted on the loop's next turn.
+    Timers::HandlePtr deletionTimer_;
 };
 
 } // namespace qz
--- a/packages/qz_forward/requests/forwardheaders.h
+++ b/packages/qz_forward/requests/forwardheaders.h
@@ -1,18 +1,18 @@
-// Names of the header fields that callers, instances and backend servers use.
+// Names of the header fields that callers, instances and backend servers exchange.
 #pragma once
 
 #include <string>
 
 namespace qz {
 
-/// Who speaks which fields is settled by the platform that the fleet runs on.
+/// The platform on which the fleet runs defines the names of these fields.
 struct ForwardHeaders
 {
-    std::string requestId_;    ///< Names one request; passed on and echoed by backend servers.
-    std::string deadline_;     ///< Milliseconds that are left for the answer.
-    std::string expectServer_; ///< The backend server for which a request is meant.
-    std::string notRun_;       ///< In an answer: the server has not run the request.
-    std::string seal_;         ///< In an answer: a backend server's signature.
+    std::string requestId_;    ///< Identifies a request; backend servers return it in responses.
+    std::string deadline_;     ///< Time until the response is due, in milliseconds.
+    std::string expectServer_; ///< Id of the backend server that the request is meant for.
+    std::string notRun_;       ///< In a response: the server did not and will not run the request.
+    std::string seal_;         ///< In a response: signature of the backend server.
 };
 
 } // namespace qz
--- a/packages/qz_forward/tests/backendtabletest.cpp
+++ b/packages/qz_forward/tests/backendtabletest.cpp
@@ -1,4 +1,4 @@
-// Tests of the list of backend servers and its changes.
+// Tests of changes to the list of backend servers.
 #include "qz_forward/backends/backendtable.h"
 
 #include <boost/test/unit_test.hpp>
@@ -22,7 +22,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(aRestartUnderTheSameIdIsANewServer)
+BOOST_AUTO_TEST_CASE(restartWithTheSameIdCreatesANewBackend)
 {
     qz::EventLoop loop;
     qz::BackendTable table(loop);
@@ -38,7 +38,7 @@
     BOOST_TEST(table.serversOf(service).size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(aServerThatLeftIsClosedAtOnce)
+BOOST_AUTO_TEST_CASE(removedServerIsClosedImmediately)
 {
     qz::EventLoop loop;
     qz::BackendTable table(loop);
@@ -49,7 +49,7 @@
     BOOST_TEST(table.serversOf(service).empty());
 }
 
-BOOST_AUTO_TEST_CASE(afterAnOutageMissingServersAreKeptForTheGraceTime)
+BOOST_AUTO_TEST_CASE(missingServersAreKeptForTheGracePeriodAfterAnOutage)
 {
     qz::EventLoop loop;
     qz::BackendTable table(loop);
@@ -58,13 +58,13 @@
     table.startRemovalGrace(100ms);
     table.replaceAll({});
     BOOST_TEST(table.serversOf(service).size() == 2);
-    table.put(makeListed("a")); // It is back in time.
+    table.put(makeListed("a")); // Listed again within the grace period.
     loop.runFor(200ms);
     BOOST_TEST(table.serversOf(service).size() == 1);
     BOOST_TEST(table.find(qz::BackendServerId("b")) == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(aDrainingServerStaysListedAndIsNotOpen)
+BOOST_AUTO_TEST_CASE(drainingServerStaysListedButIsNotOpen)
 {
     qz::EventLoop loop;
     qz::BackendTable table(loop);
@@ -75,7 +75,7 @@
     BOOST_TEST(!table.find(idA)->isOpen());
 }
 
-BOOST_AUTO_TEST_CASE(aServerThatMovesToAnotherServiceIsNotLeftInTheOldOne)
+BOOST_AUTO_TEST_CASE(serverThatChangesItsServiceIsRemovedFromTheOldService)
 {
     qz::EventLoop loop;
     qz::BackendTable table(loop);
--- a/packages/qz_forward/tests/forwardertest.cpp
+++ b/packages/qz_forward/tests/forwardertest.cpp
@@ -1,4 +1,4 @@
-// Tests of whole requests: real callers and backend servers on loopback, misbehaving.
+// End-to-end tests of requests, with real callers and misbehaving backend servers on loopback.
 #include "qz_forward/qz_forward.h"
 
 #include "qz_http/stream/callerserver.h"
@@ -13,13 +13,13 @@
 
 namespace {
 
-const std::string answerHead = "HTTP/1.1 200 OK\r\nX-Id: 1\r\nX-Seal: s\r\n";
-const std::string goodAnswer = answerHead + "Content-Length: 2\r\n\r\nok";
-const std::string shedAnswer = "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
-const std::string failedAnswer =
+const std::string responseHead = "HTTP/1.1 200 OK\r\nX-Id: 1\r\nX-Seal: s\r\n";
+const std::string successResponse = responseHead + "Content-Length: 2\r\n\r\nok";
+const std::string notRunResponse = "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
+const std::string serverErrorResponse =
         "HTTP/1.1 500 Failed\r\nX-Id: 1\r\nX-Seal: s\r\nContent-Length: 3\r\n\r\nbad";
 
-/// Ends a connection with a reset.
+/// Closes a connection with a TCP reset.
 void resetConnection(bufferevent *stream)
 {
     const linger abort{ 1, 0 };
@@ -27,17 +27,17 @@
     bufferevent_free(stream);
 }
 
-RawServer::Script answering(const std::string &text)
+RawServer::Script respondWith(const std::string &text)
 {
     return [text](bufferevent *stream, int /*reads*/) { write(stream, text); };
 }
 
-void resetting(bufferevent *stream, int /*reads*/)
+void resetOnRead(bufferevent *stream, int /*reads*/)
 {
     resetConnection(stream);
 }
 
-/// An instance between one caller and scripted backend servers of one service.
+/// One instance with one caller and scripted backend servers of one service.
 class Fixture
 {
 public:
@@ -51,7 +51,7 @@
         forwarder_.setSlackPart(1.0);
     }
 
-    /// Servers are near in the order in which they are added, so the first is chosen first.
+    /// The first server added is in the instance's failure domain, so it is chosen first.
     RawServer &addServer(const std::string &id, RawServer::Script script)
     {
         servers_.push_back(std::make_unique<RawServer>(loop_, std::move(script)));
@@ -88,8 +88,8 @@
         forwarder_.setRoutes(builder.build().value());
     }
 
-    /// Sends a request and runs the loop for @p limit; what came back.
-    std::string ask(qz::Duration limit = 400ms, const std::string &fields = "")
+    /// Sends a request, runs the loop for @p limit and returns the data received.
+    std::string sendRequest(qz::Duration limit = 400ms, const std::string &fields = "")
     {
         client_ = std::make_unique<RawClient>(loop_, endpoint_);
         client_->send("POST /p?q=1 HTTP/1.1\r\nHost: h\r\nX-Id: 1\r\n" + fields
@@ -118,9 +118,9 @@
     }
 };
 
-int statusOf(const std::string &answer)
+int statusOf(const std::string &response)
 {
-    return answer.size() < 12 ? 0 : std::stoi(answer.substr(9, 3));
+    return response.size() < 12 ? 0 : std::stoi(response.substr(9, 3));
 }
 
 bool contains(const std::string &text, const std::string &part)
@@ -130,33 +130,33 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(anAnswerIsPassedOnAsItIs)
+BOOST_AUTO_TEST_CASE(responseIsPassedOnUnchanged)
 {
     Fixture fixture;
     fixture.setRoute(false);
-    fixture.addServer("a", answering(goodAnswer));
-    const std::string answer = fixture.ask();
-    BOOST_TEST(statusOf(answer) == 200);
-    BOOST_TEST(contains(answer, "X-Seal: s\r\n"));
-    BOOST_TEST(contains(answer, "\r\n\r\nok"));
+    fixture.addServer("a", respondWith(successResponse));
+    const std::string response = fixture.sendRequest();
+    BOOST_TEST(statusOf(response) == 200);
+    BOOST_TEST(contains(response, "X-Seal: s\r\n"));
+    BOOST_TEST(contains(response, "\r\n\r\nok"));
 }
 
-BOOST_AUTO_TEST_CASE(withoutAConfigurationNothingIsRunAndTheCallerIsToldSo)
+BOOST_AUTO_TEST_CASE(requestWithoutConfigurationIsRejected)
 {
     Fixture fixture;
-    RawServer &server = fixture.addServer("a", answering(goodAnswer));
-    BOOST_TEST(statusOf(fixture.ask()) == 503);
+    RawServer &server = fixture.addServer("a", respondWith(successResponse));
+    BOOST_TEST(statusOf(fixture.sendRequest()) == 503);
     BOOST_TEST(server.connectionCount() == 0);
     fixture.setRoute(false);
-    BOOST_TEST(statusOf(fixture.ask()) == 200);
+    BOOST_TEST(statusOf(fixture.sendRequest()) == 200);
 }
 
-BOOST_AUTO_TEST_CASE(requestsThatComeRightAfterAStartWaitForTheConfiguration)
+BOOST_AUTO_TEST_CASE(requestsAfterAStartWaitForTheConfiguration)
 {
     Fixture fixture;
-    fixture.addServer("a", answering(goodAnswer));
+    fixture.addServer("a", respondWith(successResponse));
     fixture.forwarder_.deferRequests(1s);
-    BOOST_TEST(fixture.ask(100ms).empty());
+    BOOST_TEST(fixture.sendRequest(100ms).empty());
     BOOST_TEST(fixture.forwarder_.activeRequestCount() == 1);
     fixture.setRoute(false);
     fixture.forwarder_.startDeferredRequests();
@@ -164,57 +164,57 @@
     BOOST_TEST(statusOf(fixture.client_->received()) == 200);
 }
 
-BOOST_AUTO_TEST_CASE(whatCannotBeServedAfterTheWaitIsRefusedAndLaterAtOnce)
+BOOST_AUTO_TEST_CASE(deferredRequestIsRejectedAfterTheLimitAndLaterOnesImmediately)
 {
     Fixture fixture;
     fixture.forwarder_.deferRequests(100ms);
-    BOOST_TEST(statusOf(fixture.ask(200ms)) == 503);
-    BOOST_TEST(statusOf(fixture.ask(50ms)) == 503);
+    BOOST_TEST(statusOf(fixture.sendRequest(200ms)) == 503);
+    BOOST_TEST(statusOf(fixture.sendRequest(50ms)) == 503);
 }
 
-BOOST_AUTO_TEST_CASE(aCallerThatLeavesWhileItsRequestWaitsIsForgotten)
+BOOST_AUTO_TEST_CASE(deferredRequestIsDroppedWhenItsCallerDisconnects)
 {
     Fixture fixture;
     fixture.forwarder_.deferRequests(1s);
-    fixture.ask(50ms);
+    fixture.sendRequest(50ms);
     fixture.client_->close();
     fixture.loop_.runFor(50ms);
     BOOST_TEST(fixture.forwarder_.activeRequestCount() == 0);
     fixture.forwarder_.startDeferredRequests();
 }
 
-BOOST_AUTO_TEST_CASE(nonRepeatableWorkIsNeverSentAgainAfterAReset)
+BOOST_AUTO_TEST_CASE(nonRepeatableRequestIsNotResentAfterAReset)
 {
     Fixture fixture;
     fixture.setRoute(false);
-    RawServer &first = fixture.addServer("a", resetting);
-    RawServer &second = fixture.addServer("b", answering(goodAnswer));
-    const std::string answer = fixture.ask();
-    BOOST_TEST(statusOf(answer) == 502);
-    BOOST_TEST(contains(answer, "Quetzaldale-Outcome: unknown"));
+    RawServer &first = fixture.addServer("a", resetOnRead);
+    RawServer &second = fixture.addServer("b", respondWith(successResponse));
+    const std::string response = fixture.sendRequest();
+    BOOST_TEST(statusOf(response) == 502);
+    BOOST_TEST(contains(response, "Quetzaldale-Outcome: unknown"));
     BOOST_TEST(first.readCount() == 1);
     BOOST_TEST(second.readCount() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(repeatableWorkIsTriedAtAnotherServer)
+BOOST_AUTO_TEST_CASE(repeatableRequestIsRetriedAtAnotherServer)
 {
     Fixture fixture;
     fixture.setRoute(true);
-    RawServer &first = fixture.addServer("a", resetting);
-    RawServer &second = fixture.addServer("b", answering(goodAnswer));
-    BOOST_TEST(statusOf(fixture.ask()) == 200);
+    RawServer &first = fixture.addServer("a", resetOnRead);
+    RawServer &second = fixture.addServer("b", respondWith(successResponse));
+    BOOST_TEST(statusOf(fixture.sendRequest()) == 200);
     BOOST_TEST(first.readCount() == 1);
     BOOST_TEST(second.readCount() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(noMoreServersAreTriedThanTheRouteAllows)
+BOOST_AUTO_TEST_CASE(attemptsAreLimitedByTheRoute)
 {
     Fixture fixture;
     fixture.setRoute(true, 2s, 2);
     for (const char *id : { "a", "b", "c", "d" }) {
-        fixture.addServer(id, resetting);
+        fixture.addServer(id, resetOnRead);
     }
-    BOOST_TEST(statusOf(fixture.ask()) == 502);
+    BOOST_TEST(statusOf(fixture.sendRequest()) == 502);
     int reads = 0;
     for (const auto &server : fixture.servers_) {
         reads += server->readCount();
@@ -222,206 +222,207 @@
     BOOST_TEST(reads == 2);
 }
 
-BOOST_AUTO_TEST_CASE(withoutRetryBudgetThereIsNoSecondTry)
+BOOST_AUTO_TEST_CASE(requestIsNotRetriedWithoutRetryBudget)
 {
     Fixture fixture;
     fixture.setRoute(true);
     fixture.forwarder_.setSlackPart(0.0);
-    fixture.addServer("a", resetting);
-    RawServer &second = fixture.addServer("b", answering(goodAnswer));
-    BOOST_TEST(statusOf(fixture.ask()) == 502);
+    fixture.addServer("a", resetOnRead);
+    RawServer &second = fixture.addServer("b", respondWith(successResponse));
+    BOOST_TEST(statusOf(fixture.sendRequest()) == 502);
     BOOST_TEST(second.readCount() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(workThatAServerHasShedIsSentToAnother)
+BOOST_AUTO_TEST_CASE(requestThatAServerDidNotRunIsSentToAnother)
 {
     Fixture fixture;
     fixture.setRoute(false);
-    fixture.addServer("a", answering(shedAnswer));
-    RawServer &second = fixture.addServer("b", answering(goodAnswer));
-    BOOST_TEST(statusOf(fixture.ask()) == 200);
+    fixture.addServer("a", respondWith(notRunResponse));
+    RawServer &second = fixture.addServer("b", respondWith(successResponse));
+    BOOST_TEST(statusOf(fixture.sendRequest()) == 200);
     BOOST_TEST(second.readCount() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(workThatAllServersHaveShedIsToldAsNotRunWithATimeToComeBack)
+BOOST_AUTO_TEST_CASE(requestThatNoServerRanIsReportedAsNotRunWithRetryAfter)
 {
     Fixture fixture;
     fixture.setRoute(false);
-    fixture.addServer("a", answering(shedAnswer));
-    fixture.addServer("b", answering(shedAnswer));
-    const std::string answer = fixture.ask();
-    BOOST_TEST(statusOf(answer) == 503);
-    BOOST_TEST(contains(answer, "Quetzaldale-Outcome: not-run"));
-    BOOST_TEST(contains(answer, "Retry-After: "));
+    fixture.addServer("a", respondWith(notRunResponse));
+    fixture.addServer("b", respondWith(notRunResponse));
+    const std::string response = fixture.sendRequest();
+    BOOST_TEST(statusOf(response) == 503);
+    BOOST_TEST(contains(response, "Quetzaldale-Outcome: not-run"));
+    BOOST_TEST(contains(response, "Retry-After: "));
 }
 
-BOOST_AUTO_TEST_CASE(aResetAfterAShedIsNotToldAsNotRun)
+BOOST_AUTO_TEST_CASE(resetAfterANotRunResponseIsNotReportedAsNotRun)
 {
     Fixture fixture;
     fixture.setRoute(false);
-    fixture.addServer("a", answering(shedAnswer));
-    fixture.addServer("b", resetting);
-    BOOST_TEST(statusOf(fixture.ask()) == 502);
+    fixture.addServer("a", respondWith(notRunResponse));
+    fixture.addServer("b", resetOnRead);
+    BOOST_TEST(statusOf(fixture.sendRequest()) == 502);
 }
 
-BOOST_AUTO_TEST_CASE(aBare503OfABackendServerIsNoProofThatItHasNotRun)
+BOOST_AUTO_TEST_CASE(status503WithoutNotRunHeaderDoesNotProveThatTheRequestWasNotRun)
 {
     Fixture fixture;
     fixture.setRoute(false);
     fixture.addServer("a",
-                      answering("HTTP/1.1 503 Full\r\nX-Id: 1\r\nX-Seal: s\r\n"
-                                "Content-Length: 0\r\n\r\n"));
-    RawServer &second = fixture.addServer("b", answering(goodAnswer));
-    const std::string answer = fixture.ask();
-    // It is the server's own answer and is passed on with its seal.
-    BOOST_TEST(contains(answer, "X-Seal: s"));
+                      respondWith("HTTP/1.1 503 Full\r\nX-Id: 1\r\nX-Seal: s\r\n"
+                                  "Content-Length: 0\r\n\r\n"));
+    RawServer &second = fixture.addServer("b", respondWith(successResponse));
+    const std::string response = fixture.sendRequest();
+    // It is the server's own response and is passed on with its signature.
+    BOOST_TEST(contains(response, "X-Seal: s"));
     BOOST_TEST(second.readCount() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(aServerThatCannotBeReachedCostsNothing)
+BOOST_AUTO_TEST_CASE(unreachableServerDoesNotFailTheRequest)
 {
     Fixture fixture;
     fixture.setRoute(false);
     fixture.putServer("a", { "127.0.0.1", findFreePort() });
-    RawServer &second = fixture.addServer("b", answering(goodAnswer));
-    BOOST_TEST(statusOf(fixture.ask()) == 200);
+    RawServer &second = fixture.addServer("b", respondWith(successResponse));
+    BOOST_TEST(statusOf(fixture.sendRequest()) == 200);
     BOOST_TEST(second.readCount() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(aServersOwnFailureIsPassedOnForNonRepeatableWork)
+BOOST_AUTO_TEST_CASE(serverErrorIsPassedOnForNonRepeatableRequests)
 {
     Fixture fixture;
     fixture.setRoute(false);
-    fixture.addServer("a", answering(failedAnswer));
-    RawServer &second = fixture.addServer("b", answering(goodAnswer));
-    const std::string answer = fixture.ask();
-    BOOST_TEST(statusOf(answer) == 500);
-    BOOST_TEST(contains(answer, "bad"));
+    fixture.addServer("a", respondWith(serverErrorResponse));
+    RawServer &second = fixture.addServer("b", respondWith(successResponse));
+    const std::string response = fixture.sendRequest();
+    BOOST_TEST(statusOf(response) == 500);
+    BOOST_TEST(contains(response, "bad"));
     BOOST_TEST(second.readCount() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerThatBreaksOffIsReplacedForRepeatableWorkAndNeverLooksWhole)
+BOOST_AUTO_TEST_CASE(truncatedResponseIsReplacedOrReportedAsAnError)
 {
     for (const bool isRepeatable : { true, false }) {
         Fixture fixture;
         fixture.setRoute(isRepeatable);
         fixture.addServer("a", [](bufferevent *stream, int /*reads*/) {
-            const std::string part = answerHead + "Content-Length: 10\r\n\r\nhalf";
+            const std::string part = responseHead + "Content-Length: 10\r\n\r\nhalf";
             const int sent = static_cast<int>(
                     send(bufferevent_getfd(stream), part.data(), part.size(), MSG_NOSIGNAL));
             BOOST_TEST(sent == static_cast<int>(part.size()));
             bufferevent_free(stream);
         });
-        fixture.addServer("b", answering(goodAnswer));
-        const std::string answer = fixture.ask();
-        BOOST_TEST(statusOf(answer) == (isRepeatable ? 200 : 502));
-        BOOST_TEST(!contains(answer, "half"));
+        fixture.addServer("b", respondWith(successResponse));
+        const std::string response = fixture.sendRequest();
+        BOOST_TEST(statusOf(response) == (isRepeatable ? 200 : 502));
+        BOOST_TEST(!contains(response, "half"));
     }
 }
 
-BOOST_AUTO_TEST_CASE(aLateAnswerToAnotherRequestIsSkipped)
+BOOST_AUTO_TEST_CASE(lateResponseToAnotherRequestIsSkipped)
 {
     Fixture fixture;
     fixture.setRoute(false);
     fixture.addServer("a",
-                      answering("HTTP/1.1 200 OK\r\nX-Id: other\r\nX-Seal: o\r\n"
-                                "Content-Length: 5\r\n\r\nother"
-                                + goodAnswer));
-    const std::string answer = fixture.ask();
-    BOOST_TEST(statusOf(answer) == 200);
-    BOOST_TEST(!contains(answer, "other"));
-    BOOST_TEST(contains(answer, "\r\n\r\nok"));
+                      respondWith("HTTP/1.1 200 OK\r\nX-Id: other\r\nX-Seal: o\r\n"
+                                  "Content-Length: 5\r\n\r\nother"
+                                  + successResponse));
+    const std::string response = fixture.sendRequest();
+    BOOST_TEST(statusOf(response) == 200);
+    BOOST_TEST(!contains(response, "other"));
+    BOOST_TEST(contains(response, "\r\n\r\nok"));
 }
 
-BOOST_AUTO_TEST_CASE(anExtraAnswerGoesToNobody)
+BOOST_AUTO_TEST_CASE(surplusResponseIsDiscarded)
 {
     Fixture fixture;
     fixture.setRoute(false);
-    RawServer &server = fixture.addServer("a", answering(goodAnswer + goodAnswer));
-    BOOST_TEST(contains(fixture.ask(), "\r\n\r\nok"));
-    BOOST_TEST(contains(fixture.ask(), "\r\n\r\nok"));
-    BOOST_TEST(server.connectionCount() == 2); // The first connection was not used again.
+    RawServer &server = fixture.addServer("a", respondWith(successResponse + successResponse));
+    BOOST_TEST(contains(fixture.sendRequest(), "\r\n\r\nok"));
+    BOOST_TEST(contains(fixture.sendRequest(), "\r\n\r\nok"));
+    BOOST_TEST(server.connectionCount() == 2); // The first connection was not reused.
 }
 
-BOOST_AUTO_TEST_CASE(connectionsAreUsedAgain)
+BOOST_AUTO_TEST_CASE(connectionsAreReused)
 {
     Fixture fixture;
     fixture.setRoute(false);
-    RawServer &server = fixture.addServer("a", answering(goodAnswer));
+    RawServer &server = fixture.addServer("a", respondWith(successResponse));
     for (int i = 0; i < 3; ++i) {
-        BOOST_TEST(statusOf(fixture.ask(100ms)) == 200);
+        BOOST_TEST(statusOf(fixture.sendRequest(100ms)) == 200);
     }
     BOOST_TEST(server.connectionCount() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(anOldIdleConnectionCarriesRepeatableWorkOnly)
+BOOST_AUTO_TEST_CASE(oldIdleConnectionCarriesOnlyRepeatableRequests)
 {
-    // A server that forgot an idle connection, or a way that went silent, loses what is sent next.
+    // If the server has dropped an idle connection, or the network path has failed, a request sent
+    // on that connection is lost.
     for (const bool isRepeatable : { true, false }) {
         Fixture fixture;
         fixture.setRoute(isRepeatable);
-        RawServer &server = fixture.addServer("a", answering(goodAnswer));
-        BOOST_TEST(statusOf(fixture.ask(300ms)) == 200);
-        BOOST_TEST(statusOf(fixture.ask(300ms)) == 200);
+        RawServer &server = fixture.addServer("a", respondWith(successResponse));
+        BOOST_TEST(statusOf(fixture.sendRequest(300ms)) == 200);
+        BOOST_TEST(statusOf(fixture.sendRequest(300ms)) == 200);
         BOOST_TEST(server.connectionCount() == (isRepeatable ? 1 : 2));
     }
 }
 
-BOOST_AUTO_TEST_CASE(aSuccessWithoutSealIsNoAnswer)
+BOOST_AUTO_TEST_CASE(successWithoutSignatureIsAnInvalidResponse)
 {
     Fixture fixture;
     fixture.setRoute(false);
-    fixture.addServer("a", answering("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno"));
-    BOOST_TEST(statusOf(fixture.ask()) == 502);
+    fixture.addServer("a", respondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno"));
+    BOOST_TEST(statusOf(fixture.sendRequest()) == 502);
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerWithoutLengthIsWholeIfItsConnectionEndsInOrder)
+BOOST_AUTO_TEST_CASE(responseWithoutLengthIsCompleteAfterAnOrderlyClose)
 {
     Fixture fixture;
     fixture.setRoute(false);
     fixture.addServer("a", [](bufferevent *stream, int /*reads*/) {
-        const std::string text = answerHead + "\r\nto the end";
+        const std::string text = responseHead + "\r\nto the end";
         (void)send(bufferevent_getfd(stream), text.data(), text.size(), MSG_NOSIGNAL);
         shutdown(bufferevent_getfd(stream), SHUT_WR);
     });
-    BOOST_TEST(contains(fixture.ask(), "to the end"));
+    BOOST_TEST(contains(fixture.sendRequest(), "to the end"));
 }
 
-BOOST_AUTO_TEST_CASE(aRequestEndsAtItsTimeAndItsWorkIsDropped)
+BOOST_AUTO_TEST_CASE(requestEndsAtItsDeadlineAndReleasesItsServer)
 {
     Fixture fixture;
     fixture.setRoute(false, 300ms);
     RawServer &server = fixture.addServer("a", [](bufferevent * /*stream*/, int /*reads*/) {});
-    const std::string answer = fixture.ask(450ms);
-    BOOST_TEST(statusOf(answer) == 504);
+    const std::string response = fixture.sendRequest(450ms);
+    BOOST_TEST(statusOf(response) == 504);
     BOOST_TEST(server.readCount() == 1);
     BOOST_TEST(fixture.backends_.find(qz::BackendServerId("a"))->inFlight() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(theCallersDeadlineBindsIfItIsShorter)
+BOOST_AUTO_TEST_CASE(shorterDeadlineOfTheCallerApplies)
 {
     Fixture fixture;
     fixture.setRoute(false, 5s);
     fixture.addServer("a", [](bufferevent * /*stream*/, int /*reads*/) {});
-    BOOST_TEST(statusOf(fixture.ask(450ms, "X-Deadline: 400\r\n")) == 504);
+    BOOST_TEST(statusOf(fixture.sendRequest(450ms, "X-Deadline: 400\r\n")) == 504);
 }
 
-BOOST_AUTO_TEST_CASE(aSilentServerIsOvertakenForRepeatableWork)
+BOOST_AUTO_TEST_CASE(repeatableRequestIsHedgedIfTheServerDoesNotRespond)
 {
     Fixture fixture;
     fixture.setRoute(true);
     fixture.addServer("a", [](bufferevent * /*stream*/, int /*reads*/) {});
-    RawServer &second = fixture.addServer("b", answering(goodAnswer));
-    BOOST_TEST(statusOf(fixture.ask(900ms)) == 200);
+    RawServer &second = fixture.addServer("b", respondWith(successResponse));
+    BOOST_TEST(statusOf(fixture.sendRequest(900ms)) == 200);
     BOOST_TEST(second.readCount() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(workOfACallerThatHasLeftIsDropped)
+BOOST_AUTO_TEST_CASE(requestIsCancelledWhenItsCallerDisconnects)
 {
     Fixture fixture;
     fixture.setRoute(true);
     fixture.addServer("a", [](bufferevent * /*stream*/, int /*reads*/) {});
-    fixture.ask(100ms);
+    fixture.sendRequest(100ms);
     BOOST_TEST(fixture.forwarder_.activeRequestCount() == 1);
     fixture.client_->close();
     fixture.loop_.runFor(100ms);
@@ -429,20 +430,20 @@
     BOOST_TEST(fixture.backends_.find(qz::BackendServerId("a"))->inFlight() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(aDrainingServerGetsNoNewWork)
+BOOST_AUTO_TEST_CASE(drainingServerGetsNoNewRequests)
 {
     Fixture fixture;
     fixture.setRoute(false);
-    RawServer &first = fixture.addServer("a", answering(goodAnswer));
-    RawServer &second = fixture.addServer("b", answering(goodAnswer));
-    BOOST_TEST(statusOf(fixture.ask(100ms)) == 200);
+    RawServer &first = fixture.addServer("a", respondWith(successResponse));
+    RawServer &second = fixture.addServer("b", respondWith(successResponse));
+    BOOST_TEST(statusOf(fixture.sendRequest(100ms)) == 200);
     fixture.putServer("a", first.endpoint(), true);
-    BOOST_TEST(statusOf(fixture.ask(100ms)) == 200);
+    BOOST_TEST(statusOf(fixture.sendRequest(100ms)) == 200);
     BOOST_TEST(first.readCount() == 1);
     BOOST_TEST(second.readCount() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(longBodiesStreamInBothDirections)
+BOOST_AUTO_TEST_CASE(longBodiesAreStreamedInBothDirections)
 {
     Fixture fixture;
     fixture.setRoute(false, 10s);
@@ -450,7 +451,7 @@
     fixture.addServer("a", [](bufferevent *stream, int reads) {
         if (reads == 1) {
             write(stream,
-                  answerHead + "Content-Length: " + std::to_string(size) + "\r\n\r\n"
+                  responseHead + "Content-Length: " + std::to_string(size) + "\r\n\r\n"
                           + std::string(size, 'y'));
         }
     });
@@ -462,7 +463,7 @@
     BOOST_TEST(client.received().size() > size);
 }
 
-BOOST_AUTO_TEST_CASE(aBodyOverTheLimitIsRefused)
+BOOST_AUTO_TEST_CASE(bodyOverTheLimitIsRejected)
 {
     Fixture fixture;
     qz::RequestLimits limits;
@@ -476,18 +477,18 @@
     qz::RoutingTable::Builder builder;
     builder.setLimits(limits).addService(qz::ServiceId("service")).addRoute(route);
     fixture.forwarder_.setRoutes(builder.build().value());
-    RawServer &server = fixture.addServer("a", answering(goodAnswer));
-    BOOST_TEST(statusOf(fixture.ask()) == 413);
+    RawServer &server = fixture.addServer("a", respondWith(successResponse));
+    BOOST_TEST(statusOf(fixture.sendRequest()) == 413);
     BOOST_TEST(server.readCount() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(metricsNameOutcomesAndResults)
+BOOST_AUTO_TEST_CASE(metricsIncludeOutcomesAndResults)
 {
     Fixture fixture;
     fixture.setRoute(true);
-    fixture.addServer("a", resetting);
-    fixture.addServer("b", answering(goodAnswer));
-    fixture.ask();
+    fixture.addServer("a", resetOnRead);
+    fixture.addServer("b", respondWith(successResponse));
+    fixture.sendRequest();
     const std::string text = fixture.metrics_.format();
     BOOST_TEST(contains(text, "qz_requests_total{outcome=\"answered\",service=\"service\"} 1"));
     BOOST_TEST(contains(text, "qz_tries_total{result=\"cut\",service=\"service\"} 1"));
