--- a/packages/qz_presence/directory/instancedirectory.cpp
+++ b/packages/qz_presence/directory/instancedirectory.cpp
@@ -1,4 +1,4 @@
-// Live instances and the choice of entries.
+// Live instances, and the choice of entry instances and readers.
 #include "qz_presence/directory/instancedirectory.h"
 
 #include "qz_core/hashing/rendezvous.h"
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// Sets the order in which instances become readers apart from that of entries.
+/// Makes the order of readers independent of the order of entry instances.
 constexpr const char *readersSuffix = "/readers";
 
-/// Keeps the digests of ids apart from other uses of the hash.
+/// Separates the digests of ids from other uses of the hash function.
 constexpr const char *digestKey = "known instances";
 
 bool isSame(const InstanceRecord &a, const InstanceRecord &b)
@@ -44,7 +44,7 @@
     } else if (isSame(found->second.record_, record)) {
         return false;
     }
-    found->second = Known{ record, now, {}, false };
+    found->second = KnownInstance{ record, now, {}, false };
     return true;
 }
 
@@ -58,9 +58,9 @@
 {
     const auto found = others_.find(id.value());
     if (found != others_.end()) {
-        found->second.heardAt_ = now;
+        found->second.lastPresence_ = now;
         found->second.state_ = state;
-        found->second.isLost_ = false;
+        found->second.isLinkLost_ = false;
     }
 }
 
@@ -68,13 +68,13 @@
 {
     const auto found = others_.find(id.value());
     if (found != others_.end()) {
-        found->second.isLost_ = true;
+        found->second.isLinkLost_ = true;
     }
 }
 
-std::vector<InstanceRecord> InstanceDirectory::firstOf(const std::string &key,
-                                                       std::vector<std::string> ids,
-                                                       std::size_t count) const
+std::vector<InstanceRecord> InstanceDirectory::preferredInstances(const std::string &key,
+                                                                  std::vector<std::string> ids,
+                                                                  std::size_t count) const
 {
     std::vector<InstanceRecord> first;
     for (const std::string &id : rendezvousOrder(key, std::move(ids))) {
@@ -92,46 +92,47 @@
     return id == self_.id_.value() ? self_ : others_.at(id).record_;
 }
 
-bool InstanceDirectory::isLiveNeighbour(const Known &known, TimePoint now) const
+bool InstanceDirectory::isLiveInSameDomain(const KnownInstance &known, TimePoint now) const
 {
     return known.record_.location_.failureDomain_ == self_.location_.failureDomain_
-            && !known.isLost_ && now - known.heardAt_ < limits_.silenceLimit_;
+            && !known.isLinkLost_ && now - known.lastPresence_ < limits_.silenceLimit_;
 }
 
 std::vector<InstanceRecord> InstanceDirectory::entries(TimePoint now) const
 {
     std::vector<std::string> live;
     for (const auto &[id, known] : others_) {
-        if (known.state_.isReady_ && isLiveNeighbour(known, now)) {
+        if (known.state_.isReady_ && isLiveInSameDomain(known, now)) {
             live.push_back(id);
         }
     }
     if (selfState_.isReady_) {
         live.push_back(self_.id_.value());
     }
-    return firstOf(self_.location_.failureDomain_.value(), std::move(live),
-                   limits_.entriesPerDomain_);
+    return preferredInstances(self_.location_.failureDomain_.value(), std::move(live),
+                              limits_.entriesPerDomain_);
 }
 
 std::optional<std::size_t> InstanceDirectory::readerIndex(TimePoint now) const
 {
     std::vector<std::string> live{ self_.id_.value() };
     for (const auto &[id, known] : others_) {
-        if (isLiveNeighbour(known, now)) {
+        if (isLiveInSameDomain(known, now)) {
             live.push_back(id);
         }
     }
-    std::size_t readers = 0;
-    std::size_t candidates = 0;
+    std::size_t readerCount = 0;
+    std::size_t candidateCount = 0;
     const std::string key = self_.location_.failureDomain_.value() + readersSuffix;
     for (const std::string &id : rendezvousOrder(key, std::move(live))) {
-        if (++candidates > limits_.readerCandidates_ || readers == limits_.readersPerDomain_) {
+        if (++candidateCount > limits_.readerCandidates_
+            || readerCount == limits_.readersPerDomain_) {
             break;
         }
         if (id == self_.id_.value()) {
-            return readers;
+            return readerCount;
         }
-        readers += others_.at(id).state_.isStoreLost_ ? 0 : 1;
+        readerCount += others_.at(id).state_.isStoreLost_ ? 0 : 1;
     }
     return std::nullopt;
 }
@@ -152,17 +153,17 @@
         }
     }
     const std::size_t count = ids.size();
-    return firstOf(self_.location_.failureDomain_.value(), std::move(ids), count);
+    return preferredInstances(self_.location_.failureDomain_.value(), std::move(ids), count);
 }
 
 std::vector<InstanceRecord> InstanceDirectory::remoteEntries() const
 {
-    return firstOfOtherDomains("", limits_.entriesPerDomain_);
+    return preferredInOtherDomains("", limits_.entriesPerDomain_);
 }
 
 std::vector<InstanceRecord> InstanceDirectory::remoteReaders() const
 {
-    return firstOfOtherDomains(readersSuffix, limits_.readersPerDomain_);
+    return preferredInOtherDomains(readersSuffix, limits_.readersPerDomain_);
 }
 
 bool InstanceDirectory::isInSameDomain(const InstanceId &id) const
@@ -172,8 +173,8 @@
             && found->second.record_.location_.failureDomain_ == self_.location_.failureDomain_;
 }
 
-std::vector<InstanceRecord> InstanceDirectory::firstOfOtherDomains(const std::string &keySuffix,
-                                                                   std::size_t count) const
+std::vector<InstanceRecord> InstanceDirectory::preferredInOtherDomains(const std::string &keySuffix,
+                                                                       std::size_t count) const
 {
     std::map<std::string, std::vector<std::string>> domains;
     for (const auto &[id, known] : others_) {
@@ -183,7 +184,8 @@
     }
     std::vector<InstanceRecord> found;
     for (auto &[domain, ids] : domains) {
-        for (InstanceRecord &record : firstOf(domain + keySuffix, std::move(ids), count)) {
+        for (InstanceRecord &record :
+             preferredInstances(domain + keySuffix, std::move(ids), count)) {
             found.push_back(std::move(record));
         }
     }
--- a/packages/qz_presence/directory/instancedirectory.h
+++ b/packages/qz_presence/directory/instancedirectory.h
@@ -1,4 +1,4 @@
-// The instances of the fleet, and those that callers are sent to.
+// The instances of the fleet, and the choice of those that callers connect to.
 #pragma once
 
 #include "qz_core/ids/ids.h"
@@ -12,89 +12,92 @@
 
 namespace qz {
 
-/// What an instance tells of itself for as long as it runs.
+/// The properties of an instance that do not change while it runs.
 struct InstanceRecord
 {
     InstanceId id_;
-    Endpoint callerEndpoint_; ///< Where callers connect.
-    Endpoint peerEndpoint_;   ///< Where other instances connect.
+    Endpoint callerEndpoint_; ///< Address that callers connect to.
+    Endpoint peerEndpoint_;   ///< Address that other instances connect to.
     Location location_;
-    double processorShare_ = 1.0; ///< Of a core that the instance may use.
+    double processorShare_ = 1.0; ///< Share of a processor core that the instance may use.
 
     MSGPACK_DEFINE(id_, callerEndpoint_, peerEndpoint_, location_, processorShare_)
 };
 
-/// What an instance tells of itself that may change.
+/// The properties of an instance that may change while it runs.
 struct InstanceState
 {
-    bool isReady_ = false;     ///< It takes callers.
-    bool isStoreLost_ = false; ///< It cannot read from the store.
+    bool isReady_ = false;     ///< The instance accepts callers.
+    bool isStoreLost_ = false; ///< The instance cannot read from the store.
 };
 
-/// Knows the instances from their records, and which ones of its own failure domain are live
-/// from what was heard of them.
+/// Keeps the records of all known instances, and determines from their presence messages which
+/// instances of its own failure domain are live.
 ///
-/// Callers of a failure domain are sent to a few of its instances only, chosen among those
-/// that are live by their part of a processor, and by rendezvous hash where it is the same: so
-/// each sees enough requests to judge a backend server and to keep connections warm, and any
-/// other can take over. Instances that disagree on
-/// who is live send callers to different ones for a moment, which costs nothing else.
+/// Callers of a failure domain connect to only a few of its live instances, the entry instances.
+/// These are the ones with the largest processor share; a rendezvous hash decides between equal
+/// shares. So each entry instance gets enough requests to assess backend servers and to keep
+/// connections open, and any other instance can replace it. Instances that disagree about which
+/// instances are live direct callers to different ones for a short time; this has no other effect.
 class InstanceDirectory
 {
 public:
     struct Limits
     {
         std::size_t entriesPerDomain_ = 2;
-        /// Instances of a failure domain that read from the store for all of it. With two, one
-        /// may fail without a gap.
+        /// Number of instances that read from the store for their whole failure domain. With
+        /// two, updates continue without a gap if one of them fails.
         std::size_t readersPerDomain_ = 2;
-        /// Instances that try to, one after the other, where the store refuses some.
+        /// Number of instances that may try to read, one after the other, if the store is
+        /// unavailable to some of them.
         std::size_t readerCandidates_ = 6;
-        /// An instance that was not heard for so long is not live.
+        /// An instance is not live if no presence message arrived from it for this time.
         Duration silenceLimit_ = std::chrono::milliseconds(1500);
     };
 
     InstanceDirectory(InstanceRecord self, Limits limits);
 
-    /// Adds an instance or changes its addresses. True if it was not known like this. A new
-    /// one is taken as live, but not as ready, until it could have been heard.
+    /// Adds an instance or updates its record. Returns true if anything changed. A new or changed
+    /// instance counts as live, but not as ready, until its first presence message is due.
     bool addOrUpdate(const InstanceRecord &record, TimePoint now);
 
-    /// Adds an instance that another one knows; what is known of it already holds.
+    /// Adds an instance that another instance reported. The record of a known instance stays.
     bool addIfUnknown(const InstanceRecord &record, TimePoint now);
 
-    /// A digest of the ids of all known instances and of this one: the same at instances that
-    /// know the same.
+    /// Returns a digest of the ids of all known instances, including this one. It is equal at
+    /// instances that know the same set.
     std::uint64_t digest() const { return digest_; }
 
-    /// An instance said that it is live.
+    /// Records a presence message of an instance.
     void recordPresence(const InstanceId &id, const InstanceState &state, TimePoint now);
-    /// The link to an instance was lost or it said that it stops.
+    /// Marks an instance as not live, since its link was lost or it announced that it stops.
     void markLost(const InstanceId &id);
 
     void setSelfState(const InstanceState &state) { selfState_ = state; }
     const InstanceRecord &self() const { return self_; }
 
-    /// The instances that callers of this failure domain should use, best first.
+    /// Returns the entry instances of this failure domain, in order of preference.
     std::vector<InstanceRecord> entries(TimePoint now) const;
 
-    /// Whether this instance is one of entries().
+    /// Returns whether this instance is one of entries().
     bool isEntry(TimePoint now) const;
 
-    /// If this instance is one of those that read from the store: how many that can do so
-    /// come before it.
+    /// Returns the number of instances before this one that can read from the store, or an empty
+    /// value if this instance is not one of the readers.
     std::optional<std::size_t> readerIndex(TimePoint now) const;
 
-    /// The other instances of this failure domain, in the order in which they take callers.
+    /// Returns the other instances of this failure domain, in the order of preference for callers.
     std::vector<InstanceRecord> domainPeers() const;
 
-    /// Of each other failure domain, the entries if all its instances are live.
+    /// Returns the entry instances of each other failure domain, assuming that all of its
+    /// instances are live.
     std::vector<InstanceRecord> remoteEntries() const;
 
-    /// Of each other failure domain, the readers if all its instances are live.
+    /// Returns the readers of each other failure domain, assuming that all of its instances are
+    /// live and can read from the store.
     std::vector<InstanceRecord> remoteReaders() const;
 
-    /// Whether @p id is known to stand in this instance's failure domain.
+    /// Returns whether @p id is a known instance of this instance's failure domain.
     bool isInSameDomain(const InstanceId &id) const;
 
     std::vector<InstanceRecord> all() const;
@@ -102,25 +105,26 @@
     std::size_t entriesPerDomain() const { return limits_.entriesPerDomain_; }
 
 private:
-    struct Known
+    struct KnownInstance
     {
         InstanceRecord record_;
-        TimePoint heardAt_{};
+        TimePoint lastPresence_{}; ///< Arrival of the last presence message.
         InstanceState state_;
-        bool isLost_ = true;
+        bool isLinkLost_ = true;
     };
-    bool isLiveNeighbour(const Known &known, TimePoint now) const;
-    std::vector<InstanceRecord> firstOf(const std::string &key, std::vector<std::string> ids,
-                                        std::size_t count) const;
+    bool isLiveInSameDomain(const KnownInstance &known, TimePoint now) const;
+    std::vector<InstanceRecord> preferredInstances(const std::string &key,
+                                                   std::vector<std::string> ids,
+                                                   std::size_t count) const;
     const InstanceRecord &recordOf(const std::string &id) const;
-    std::vector<InstanceRecord> firstOfOtherDomains(const std::string &keySuffix,
-                                                    std::size_t count) const;
+    std::vector<InstanceRecord> preferredInOtherDomains(const std::string &keySuffix,
+                                                        std::size_t count) const;
 
     InstanceRecord self_;
     Limits limits_;
     InstanceState selfState_;
-    std::map<std::string, Known> others_; ///< By id, without this instance.
-    std::uint64_t digest_;                ///< Of the ids in others_ and of self_.
+    std::map<std::string, KnownInstance> others_; ///< Known instances by id, without this one.
+    std::uint64_t digest_;                        ///< Digest of the ids in others_ and of self_.
 };
 
 } // namespace qz
--- a/packages/qz_presence/exchange/presencedriver.cpp
+++ b/packages/qz_presence/exchange/presencedriver.cpp
@@ -1,4 +1,4 @@
-// Presence and health notes over peer links.
+// Presence messages and health reports over peer links.
 #include "qz_presence/exchange/presencedriver.h"
 
 #include "qz_core/logging/logger.h"
@@ -10,12 +10,12 @@
 
 namespace {
 
-/// Three of these fit into the silence that ends an instance's presence.
+/// Three periods fit into the silence limit after which an instance is no longer live.
 constexpr Duration announcePeriod = std::chrono::milliseconds(400);
 
-/// Between two lists of known instances that an instance sends of its own accord: one to each
-/// announcement, whoever it comes from.
-constexpr Duration listPause = announcePeriod;
+/// Minimum time between two instance lists that an instance sends without being asked, whichever
+/// instance they go to. This allows one list for each announcement.
+constexpr Duration minListInterval = announcePeriod;
 
 } // namespace
 
@@ -41,14 +41,14 @@
                       });
     links_.setHandler(MessageKind::HealthReport,
                       [this](const InstanceId &from, std::string_view payload) {
-                          receiveNote(from, payload);
+                          receiveHealthReport(from, payload);
                       });
     links_.setHandler(MessageKind::InstanceList,
                       [this](const InstanceId &from, std::string_view payload) {
                           receiveList(from, payload);
                       });
     links_.setLinkLostHandler([this](const InstanceId &peer) { directory_.markLost(peer); });
-    timer_ = loop_.callEvery(announcePeriod, [this] { announce(); });
+    periodicTimer_ = loop_.callEvery(announcePeriod, [this] { announce(); });
 }
 
 void PresenceDriver::addInstances(const std::vector<InstanceRecord> &records)
@@ -58,14 +58,14 @@
         isChanged = directory_.addOrUpdate(record, loop_.now()) || isChanged;
     }
     if (isChanged) {
-        takeChange();
+        handleChange();
     }
 }
 
-void PresenceDriver::takeChange()
+void PresenceDriver::handleChange()
 {
     updatePeers();
-    announceSoon_ = loop_.callAfter(Duration::zero(), [this] { announce(); });
+    announceTimer_ = loop_.callAfter(Duration::zero(), [this] { announce(); });
 }
 
 void PresenceDriver::setState(const InstanceState &state)
@@ -81,24 +81,24 @@
 {
     const std::string message =
             packMessage(PresenceMessage{ directory_.self(), state_.isReady_, state_.isStoreLost_,
-                                         versions_ ? versions_() : TableVersions(),
+                                         versionsProvider_ ? versionsProvider_() : TableVersions(),
                                          directory_.all().size() + 1, directory_.digest() });
-    for (const InstanceRecord &neighbour : directory_.domainPeers()) {
-        // A neighbour that is down is dialled again by the links; nothing else is lost.
-        (void)links_.send(neighbour.id_, MessageKind::Presence, message);
+    for (const InstanceRecord &peer : directory_.domainPeers()) {
+        // A failed send needs no handling: the links reconnect by themselves.
+        (void)links_.send(peer.id_, MessageKind::Presence, message);
     }
 }
 
-void PresenceDriver::sendHealthReport(const HealthReportMessage &note)
+void PresenceDriver::sendHealthReport(const HealthReportMessage &report)
 {
-    const std::string message = packMessage(note);
+    const std::string message = packMessage(report);
     auto receivers = directory_.entries(loop_.now());
     for (InstanceRecord &remote : directory_.remoteEntries()) {
         receivers.push_back(std::move(remote));
     }
     for (const InstanceRecord &receiver : receivers) {
         if (receiver.id_ != directory_.self().id_) {
-            // A receiver that misses a note finds out by its own requests.
+            // If the report is lost, the receiver detects the failure by its own requests.
             (void)links_.send(receiver.id_, MessageKind::HealthReport, message);
         }
     }
@@ -114,29 +114,30 @@
     const PresenceMessage &presence = message.value();
     addInstances({ presence.sender_ });
     directory_.recordPresence(from, { presence.isReady_, presence.isStoreLost_ }, loop_.now());
-    compareKnown(from, presence);
+    compareKnownInstances(from, presence);
     if (versionsHandler_) {
         versionsHandler_(from, presence.versions_);
     }
 }
 
-void PresenceDriver::compareKnown(const InstanceId &from, const PresenceMessage &presence)
+void PresenceDriver::compareKnownInstances(const InstanceId &from, const PresenceMessage &presence)
 {
-    const auto ours =
+    const auto known =
             std::make_pair(std::uint64_t(directory_.all().size() + 1), directory_.digest());
-    // The one that knows less begins, so that only one of the two does.
-    if (ours < std::make_pair(presence.knownCount_, presence.knownDigest_)
-        && loop_.now() - listSentAt_ >= listPause) {
+    // Only the instance that knows fewer instances sends its list first. If the counts are equal,
+    // the lower digest decides.
+    if (known < std::make_pair(presence.knownCount_, presence.knownDigest_)
+        && loop_.now() - listSentAt_ >= minListInterval) {
         listSentAt_ = loop_.now();
         sendList(from, false);
     }
 }
 
-void PresenceDriver::sendList(const InstanceId &to, bool isAnswer)
+void PresenceDriver::sendList(const InstanceId &to, bool isReply)
 {
-    InstanceListMessage list{ directory_.all(), isAnswer };
+    InstanceListMessage list{ directory_.all(), isReply };
     list.records_.push_back(directory_.self());
-    // A list that is lost is sent again after a later announcement.
+    // A lost list is sent again after a later presence message.
     (void)links_.send(to, MessageKind::InstanceList, packMessage(list));
 }
 
@@ -147,30 +148,32 @@
         log(LogLevel::Warning, "instance-list-malformed", { { "from", from.value() } });
         return;
     }
-    const std::size_t before = directory_.all().size();
+    const std::size_t countBefore = directory_.all().size();
     for (const InstanceRecord &record : message.value().records_) {
         directory_.addIfUnknown(record, loop_.now());
     }
-    const std::size_t found = directory_.all().size() - before;
-    if (found > 0) {
+    const std::size_t newCount = directory_.all().size() - countBefore;
+    if (newCount > 0) {
         log(LogLevel::Info, "instances-learned",
-            { { "from", from.value() }, { "new", found }, { "known", before + found + 1 } });
-        takeChange();
+            { { "from", from.value() },
+              { "new", newCount },
+              { "known", countBefore + newCount + 1 } });
+        handleChange();
     }
     if (!message.value().isReply_) {
         sendList(from, true);
     }
 }
 
-void PresenceDriver::receiveNote(const InstanceId &from, std::string_view payload)
+void PresenceDriver::receiveHealthReport(const InstanceId &from, std::string_view payload)
 {
     const auto message = unpackMessage<HealthReportMessage>(payload);
     if (message.has_error()) {
         log(LogLevel::Warning, "health-note-malformed", { { "from", from.value() } });
         return;
     }
-    if (noteHandler_) {
-        noteHandler_(message.value());
+    if (healthReportHandler_) {
+        healthReportHandler_(message.value());
     }
 }
 
--- a/packages/qz_presence/exchange/presencedriver.h
+++ b/packages/qz_presence/exchange/presencedriver.h
@@ -1,4 +1,4 @@
-// Exchanges presence and health notes with other instances.
+// Exchanges presence messages and health reports with other instances.
 #pragma once
 
 #include "qz_core/loop/eventloop.h"
@@ -10,12 +10,12 @@
 
 namespace qz {
 
-/// Says a few times a second to all instances of the failure domain that this one is live,
-/// and sends health notes to the entries of all failure domains. Notes are sent once and may
-/// be lost: the receiver then finds out by its own requests.
+/// Sends presence messages to all instances of the failure domain a few times a second, and
+/// health reports to the entry instances of all failure domains. A health report is sent once and
+/// may be lost; the receiver then detects the failure by its own requests.
 ///
-/// Instances that start together each find only a part of the others in the store. So two
-/// instances of a domain that know different ones tell each other all of theirs.
+/// Instances that start at the same time each find only some of the others in the store.
+/// Therefore two instances of a domain whose lists of known instances differ exchange them.
 /// @see InstanceDirectory
 class PresenceDriver
 {
@@ -30,43 +30,48 @@
 
     void start();
 
-    /// Takes instances that were found elsewhere.
+    /// Adds instances that were found by other means, such as the store.
     void addInstances(const std::vector<InstanceRecord> &records);
 
-    /// What this instance tells of itself; a change is told to the others at once.
+    /// Sets this instance's state. A change is announced to the other instances immediately.
     void setState(const InstanceState &state);
 
-    /// The versions that are told with each presence.
+    /// Sets the function that returns the table versions to send with each presence message.
     void setVersionsProvider(std::function<TableVersions()> versions)
     {
-        versions_ = std::move(versions);
+        versionsProvider_ = std::move(versions);
     }
-    /// Takes the versions that another instance has.
+    /// Sets the handler for the table versions of another instance.
     void setVersionsHandler(VersionsHandler handler) { versionsHandler_ = std::move(handler); }
 
-    void setHealthReportHandler(HealthReportHandler handler) { noteHandler_ = std::move(handler); }
-    void sendHealthReport(const HealthReportMessage &note);
+    void setHealthReportHandler(HealthReportHandler handler)
+    {
+        healthReportHandler_ = std::move(handler);
+    }
+    /// Sends a health report to the entry instances of all failure domains.
+    void sendHealthReport(const HealthReportMessage &report);
 
 private:
     void announce();
     void receivePresence(const InstanceId &from, std::string_view payload);
-    void receiveNote(const InstanceId &from, std::string_view payload);
+    void receiveHealthReport(const InstanceId &from, std::string_view payload);
     void receiveList(const InstanceId &from, std::string_view payload);
-    void compareKnown(const InstanceId &from, const PresenceMessage &presence);
-    void sendList(const InstanceId &to, bool isAnswer);
-    void takeChange();
+    void compareKnownInstances(const InstanceId &from, const PresenceMessage &presence);
+    void sendList(const InstanceId &to, bool isReply);
+    void handleChange();
     void updatePeers();
 
     EventLoop &loop_;
     PeerLinks &links_;
     InstanceDirectory &directory_;
-    HealthReportHandler noteHandler_;
-    std::function<TableVersions()> versions_;
+    HealthReportHandler healthReportHandler_;
+    std::function<TableVersions()> versionsProvider_;
     VersionsHandler versionsHandler_;
     InstanceState state_;
-    Timers::HandlePtr timer_;
-    Timers::HandlePtr announceSoon_; ///< After new instances were found.
-    TimePoint listSentAt_{};         ///< A list that was no answer.
+    Timers::HandlePtr periodicTimer_;
+    Timers::HandlePtr announceTimer_; ///< Set after new instances were found.
+    /// Time when this instance last sent its list without being asked.
+    TimePoint listSentAt_{};
 };
 
 } // namespace qz
--- a/packages/qz_presence/exchange/presencemessages.h
+++ b/packages/qz_presence/exchange/presencemessages.h
@@ -1,4 +1,4 @@
-// What instances tell each other.
+// Messages about instances and backend servers that instances exchange.
 #pragma once
 
 #include "qz_core/time/clock.h"
@@ -12,37 +12,38 @@
 
 namespace qz {
 
-/// The version of each table that an instance has a copy of.
+/// Versions of the tables that an instance has copies of, by table name.
 using TableVersions = std::map<std::string, std::uint64_t>;
 
-/// The sender is live.
+/// Periodic message that the sender is live, with its current state.
 struct PresenceMessage
 {
     InstanceRecord sender_;
-    bool isReady_ = false;     ///< It takes callers. False as well once it stops.
-    bool isStoreLost_ = false; ///< It tried to read from the store and cannot.
+    bool isReady_ = false;     ///< The sender accepts callers; false also while it stops.
+    bool isStoreLost_ = false; ///< The sender tried to read from the store and failed.
     TableVersions versions_;
-    std::uint64_t knownCount_ = 0;  ///< Instances that the sender knows, itself among them.
-    std::uint64_t knownDigest_ = 0; ///< Of their ids. @see InstanceDirectory::digest
+    std::uint64_t knownCount_ = 0;  ///< Number of instances known to the sender, including itself.
+    std::uint64_t knownDigest_ = 0; ///< Digest of their ids. @see InstanceDirectory::digest
 
     MSGPACK_DEFINE(sender_, isReady_, isStoreLost_, versions_, knownCount_, knownDigest_)
 };
 
-/// All instances that the sender knows, those of other failure domains too.
+/// All instances known to the sender, including those of other failure domains.
 struct InstanceListMessage
 {
     std::vector<InstanceRecord> records_;
-    bool isReply_ = false; ///< To the receiver's own list, sent a moment ago.
+    bool isReply_ = false; ///< The message replies to the receiver's own list.
 
     MSGPACK_DEFINE(records_, isReply_)
 };
 
-/// The sender's requests to a backend server fail, or are answered again.
+/// Reports that the sender's requests to a backend server fail, or that the server has recovered.
 struct HealthReportMessage
 {
     BackendServerId server_;
-    std::int64_t incarnation_ = 0; ///< Of the backend server.
-    Duration ejectionTime_{};      ///< Zero: it has recovered.
+    std::int64_t incarnation_ = 0; ///< Incarnation of the backend server.
+    Duration ejectionTime_{};      ///< Time for which the sender ejects the server; zero after a
+                                   ///< recovery.
 
     MSGPACK_DEFINE(server_, incarnation_, ejectionTime_)
 };
--- a/packages/qz_presence/qz_presence.h
+++ b/packages/qz_presence/qz_presence.h
@@ -1,5 +1,5 @@
-// The package qz_presence: which instances of a failure domain are live, which of them take
-// its callers, and what they tell each other of backend servers.
+// The package qz_presence: tracks which instances of a failure domain are live and which of them
+// accept its callers, and exchanges health reports about backend servers.
 #pragma once
 
 #include "qz_presence/directory/instancedirectory.h"
--- a/packages/qz_presence/tests/instancedirectorytest.cpp
+++ b/packages/qz_presence/tests/instancedirectorytest.cpp
@@ -1,4 +1,4 @@
-// Tests of who takes callers and who reads from the store.
+// Tests of the choice of entry instances and of readers of the store.
 #include "qz_presence/directory/instancedirectory.h"
 
 #include <boost/test/unit_test.hpp>
@@ -25,33 +25,33 @@
              1.0 };
 }
 
-/// The views of several instances of one failure domain.
+/// The directories of several instances of one failure domain.
 struct Fleet
 {
     explicit Fleet(int count)
     {
         for (int i = 0; i < count; ++i) {
-            views_.push_back(std::make_unique<qz::InstanceDirectory>(
+            directories_.push_back(std::make_unique<qz::InstanceDirectory>(
                     makeRecord(i), qz::InstanceDirectory::Limits{}));
-            views_.back()->setSelfState({ true, false });
+            directories_.back()->setSelfState({ true, false });
         }
         for (int i = 0; i < count; ++i) {
             for (int j = 0; j < count; ++j) {
-                views_[i]->addOrUpdate(makeRecord(j), start);
+                directories_[i]->addOrUpdate(makeRecord(j), start);
             }
         }
-        hearAll(start, {});
+        deliverPresence(start, {});
     }
 
-    /// Everybody hears everybody but those in @p silent.
-    void hearAll(qz::TimePoint now, const std::vector<int> &silent)
+    /// Delivers presence messages from all instances except those in @p silent to all others.
+    void deliverPresence(qz::TimePoint now, const std::vector<int> &silent)
     {
-        for (std::size_t i = 0; i < views_.size(); ++i) {
-            for (std::size_t j = 0; j < views_.size(); ++j) {
+        for (std::size_t i = 0; i < directories_.size(); ++i) {
+            for (std::size_t j = 0; j < directories_.size(); ++j) {
                 const bool isSilent = std::count(silent.begin(), silent.end(), int(j)) > 0;
                 if (i != j && !isSilent) {
-                    views_[i]->recordPresence(makeRecord(int(j)).id_,
-                                              { true, lost_.count(int(j)) > 0 }, now);
+                    directories_[i]->recordPresence(makeRecord(int(j)).id_,
+                                                    { true, storeLost_.count(int(j)) > 0 }, now);
                 }
             }
         }
@@ -60,16 +60,16 @@
     std::vector<int> readers(qz::TimePoint now) const
     {
         std::vector<int> found;
-        for (std::size_t i = 0; i < views_.size(); ++i) {
-            if (views_[i]->readerIndex(now)) {
+        for (std::size_t i = 0; i < directories_.size(); ++i) {
+            if (directories_[i]->readerIndex(now)) {
                 found.push_back(int(i));
             }
         }
         return found;
     }
 
-    std::vector<std::unique_ptr<qz::InstanceDirectory>> views_;
-    std::set<int> lost_; ///< Instances that cannot read from the store.
+    std::vector<std::unique_ptr<qz::InstanceDirectory>> directories_;
+    std::set<int> storeLost_; ///< Instances that cannot read from the store.
 };
 
 std::vector<std::string> idsOf(const std::vector<qz::InstanceRecord> &records)
@@ -84,48 +84,48 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(allInstancesNameTheSameFewEntries)
+BOOST_AUTO_TEST_CASE(allInstancesChooseTheSameEntries)
 {
     const Fleet fleet(8);
-    const auto first = idsOf(fleet.views_[0]->entries(start));
+    const auto first = idsOf(fleet.directories_[0]->entries(start));
     BOOST_TEST(first.size() == 2);
-    for (const auto &view : fleet.views_) {
-        BOOST_TEST(idsOf(view->entries(start)) == first, boost::test_tools::per_element());
+    for (const auto &directory : fleet.directories_) {
+        BOOST_TEST(idsOf(directory->entries(start)) == first, boost::test_tools::per_element());
     }
 }
 
-BOOST_AUTO_TEST_CASE(anEntryThatFallsSilentIsReplacedAndTheOtherStays)
+BOOST_AUTO_TEST_CASE(onlyTheSilentEntryIsReplaced)
 {
     Fleet fleet(8);
-    const auto before = idsOf(fleet.views_[0]->entries(start));
+    const auto before = idsOf(fleet.directories_[0]->entries(start));
     const int silent = std::stoi(before[0].substr(2));
     const auto now = start + 2s;
-    fleet.hearAll(now, { silent });
-    const int watcher = silent == 7 ? 6 : 7;
-    const auto after = idsOf(fleet.views_[watcher]->entries(now));
+    fleet.deliverPresence(now, { silent });
+    const int observer = silent == 7 ? 6 : 7;
+    const auto after = idsOf(fleet.directories_[observer]->entries(now));
     BOOST_TEST(after.size() == 2);
     BOOST_TEST(std::count(after.begin(), after.end(), before[0]) == 0);
     BOOST_TEST(std::count(after.begin(), after.end(), before[1]) == 1);
 }
 
-BOOST_AUTO_TEST_CASE(aStoppingInstanceIsNamedNoMore)
+BOOST_AUTO_TEST_CASE(stoppingInstanceIsNoLongerAnEntry)
 {
     Fleet fleet(3);
-    fleet.views_[0]->setSelfState({ false, false });
-    const auto names = idsOf(fleet.views_[0]->entries(start));
+    fleet.directories_[0]->setSelfState({ false, false });
+    const auto names = idsOf(fleet.directories_[0]->entries(start));
     BOOST_TEST(std::count(names.begin(), names.end(), "d-0") == 0);
-    fleet.views_[1]->recordPresence(qz::InstanceId("d-0"), { false, false }, start);
-    const auto others = idsOf(fleet.views_[1]->entries(start));
+    fleet.directories_[1]->recordPresence(qz::InstanceId("d-0"), { false, false }, start);
+    const auto others = idsOf(fleet.directories_[1]->entries(start));
     BOOST_TEST(std::count(others.begin(), others.end(), "d-0") == 0);
 }
 
-BOOST_AUTO_TEST_CASE(anInstanceThatHearsNobodyNamesItself)
+BOOST_AUTO_TEST_CASE(isolatedInstanceChoosesItself)
 {
     Fleet fleet(4);
-    const auto alone = fleet.views_[2]->entries(start + 10s);
+    const auto alone = fleet.directories_[2]->entries(start + 10s);
     BOOST_REQUIRE(alone.size() == 1);
     BOOST_TEST(alone[0].id_.value() == "d-2");
-    BOOST_TEST(fleet.views_[2]->readerIndex(start + 10s).value() == 0);
+    BOOST_TEST(fleet.directories_[2]->readerIndex(start + 10s).value() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(twoInstancesReadFromTheStore)
@@ -133,29 +133,29 @@
     const Fleet fleet(12);
     const auto readers = fleet.readers(start);
     BOOST_REQUIRE(readers.size() == 2);
-    BOOST_TEST(fleet.views_[readers[0]]->readerIndex(start).value()
-                       + fleet.views_[readers[1]]->readerIndex(start).value()
+    BOOST_TEST(fleet.directories_[readers[0]]->readerIndex(start).value()
+                       + fleet.directories_[readers[1]]->readerIndex(start).value()
                == 1);
 }
 
-BOOST_AUTO_TEST_CASE(aReaderThatLosesTheStoreIsJoinedByTheNextAndTheNumberIsBounded)
+BOOST_AUTO_TEST_CASE(readerWithoutStoreAccessIsSupplementedUpToTheCandidateLimit)
 {
     Fleet fleet(12);
     const auto before = fleet.readers(start);
-    fleet.lost_ = { before[0] };
-    fleet.hearAll(start, {});
-    fleet.views_[before[0]]->setSelfState({ true, true });
-    // The one that lost it goes on trying.
+    fleet.storeLost_ = { before[0] };
+    fleet.deliverPresence(start, {});
+    fleet.directories_[before[0]]->setSelfState({ true, true });
+    // The reader that lost the store keeps trying to read.
     BOOST_TEST(fleet.readers(start).size() == 3);
     for (int i = 0; i < 12; ++i) {
-        fleet.lost_.insert(i);
-        fleet.views_[i]->setSelfState({ true, true });
+        fleet.storeLost_.insert(i);
+        fleet.directories_[i]->setSelfState({ true, true });
     }
-    fleet.hearAll(start, {});
+    fleet.deliverPresence(start, {});
     BOOST_TEST(fleet.readers(start).size() == qz::InstanceDirectory::Limits().readerCandidates_);
 }
 
-BOOST_AUTO_TEST_CASE(ofOtherDomainsTheFirstAreKnownWithoutHearingThem)
+BOOST_AUTO_TEST_CASE(preferredInstancesOfOtherDomainsNeedNoPresenceMessages)
 {
     qz::InstanceDirectory directory(makeRecord(0), {});
     for (int i = 0; i < 6; ++i) {
@@ -169,7 +169,7 @@
     BOOST_TEST(!directory.isInSameDomain(qz::InstanceId("e-1")));
 }
 
-BOOST_AUTO_TEST_CASE(instancesWithALargerPartOfAProcessorTakeCallersFirst)
+BOOST_AUTO_TEST_CASE(instancesWithALargerProcessorShareArePreferredAsEntries)
 {
     qz::InstanceDirectory directory(makeRecord(0), {});
     for (int i = 1; i < 12; ++i) {
@@ -186,7 +186,7 @@
     BOOST_TEST(directory.entries(start).size() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(aNewRecordCountsAsLiveButTakesNoCallersYet)
+BOOST_AUTO_TEST_CASE(newInstanceIsNoEntryBeforeItsFirstPresenceMessage)
 {
     qz::InstanceDirectory directory(makeRecord(0), {});
     BOOST_TEST(directory.addOrUpdate(makeRecord(1), start));
