--- a/packages/qz_admission/queue/admissionqueue.cpp
+++ b/packages/qz_admission/queue/admissionqueue.cpp
@@ -60,8 +60,7 @@
     BOOST_OUTCOME_TRY(ensureTimeLimit(queued, now));
     if (!ensureQueueSpace(queued, now)) {
         recordOverload(queued, now);
-        return failure(ErrorKind::QueueFull,
-                       "the queue is full and contains no request that this one may displace");
+        return failure(ErrorKind::QueueFull, "the queue is full of work that goes first");
     }
     insert(std::move(queued), now);
     return success();
@@ -109,11 +108,9 @@
         overloadDetectors_[rank].recordRefusal(now);
     }
     if (answerTime <= deadline) {
-        return failure(ErrorKind::QueueFull,
-                       "the rank is overloaded and the answer would miss its target time");
+        return failure(ErrorKind::QueueFull, "the rank is overloaded up to its target");
     }
-    return failure(ErrorKind::DeadlineUnreachable,
-                   "the queued work leaves no time to answer before the deadline");
+    return failure(ErrorKind::DeadlineUnreachable, "the work ahead leaves no time to answer");
 }
 
 bool AdmissionQueue::displaceLowerWorth(const QueuedRequest &queued, Duration excess, TimePoint now)
--- a/packages/qz_forward/requests/forwardattempt.cpp
+++ b/packages/qz_forward/requests/forwardattempt.cpp
@@ -51,9 +51,8 @@
                                                       forwarder.settings().silenceLimit_);
     connection_->setListener(this);
     connectTimer_ = forwarder.loop().callAfter(forwarder.settings().connectTimeout_, [this] {
-        request_.handleAttemptFailure(*this,
-                                      failure(ErrorKind::BackendConnectFailed,
-                                              "connecting to the backend server timed out"));
+        request_.handleAttemptFailure(
+                *this, failure(ErrorKind::BackendConnectFailed, "connect timed out"));
     });
 }
 
@@ -62,9 +61,7 @@
     connectTimer_.reset();
     if (!server_->isOpen()) {
         request_.handleAttemptFailure(
-                *this,
-                failure(ErrorKind::BackendConnectFailed,
-                        "the backend server is draining or no longer listed"));
+                *this, failure(ErrorKind::BackendConnectFailed, "the server is leaving"));
         return;
     }
     send();
--- a/packages/qz_forward/requests/forwardedrequest.cpp
+++ b/packages/qz_forward/requests/forwardedrequest.cpp
@@ -90,20 +90,20 @@
     deadlineTimer_ = forwarder_.loop().callAfter(std::max(left, Duration::zero()),
                                                  [this] { handleDeadline(); });
     if (!startNextAttempt()) {
-        fail(failure(ErrorKind::NoBackendServer, "no backend server could respond in time"));
+        fail(failure(ErrorKind::NoBackendServer, "no backend server could answer in time"));
     }
 }
 
 bool ForwardedRequest::findRoute()
 {
     if (routes_ == nullptr) {
-        fail(failure(ErrorKind::RulesNotInForce, "no configuration has been loaded yet"));
+        fail(failure(ErrorKind::RulesNotInForce, "no configuration has been read yet"));
         return false;
     }
     const HttpHead &head = exchange_->head();
     route_ = routes_->find(head.headers_.find("Host").value_or(""), pathOf(head.target_));
     if (route_ == nullptr) {
-        fail(failure(ErrorKind::NoRoute, "no route matches the host and path"));
+        fail(failure(ErrorKind::NoRoute, "no route matches host and path"));
         return false;
     }
     return true;
@@ -118,7 +118,7 @@
     }
     const auto left = parseMilliseconds(*text);
     if (!left) {
-        fail(failure(ErrorKind::BadRequest, "the deadline is not a valid number of milliseconds"));
+        fail(failure(ErrorKind::BadRequest, "the deadline is not a number of milliseconds"));
         return false;
     }
     deadline_ = std::min(deadline_, exchange_->arrivedAt() + *left);
@@ -132,7 +132,7 @@
     receivedBytes_ = body_.size();
     const std::uint64_t limit = routes_->limits().bodyBytes_;
     if (exchange_->head().length_ > limit || receivedBytes_ > limit) {
-        fail(failure(ErrorKind::RequestTooLarge, "the request body is too large"));
+        fail(failure(ErrorKind::RequestTooLarge, "the body is too large"));
         return false;
     }
     return true;
@@ -180,7 +180,7 @@
         return; // The request is deferred; start() takes the body received so far.
     }
     if (receivedBytes_ + exchange_->body().size() > routes_->limits().bodyBytes_) {
-        fail(failure(ErrorKind::RequestTooLarge, "the request body is too large"));
+        fail(failure(ErrorKind::RequestTooLarge, "the body is too large"));
         return;
     }
     sendMoreBody();
@@ -380,17 +380,15 @@
     case AttemptResult::Shed:
     case AttemptResult::WrongInstance:
         endAttempt(attempt, result, status);
-        retryOrFail(failure(ErrorKind::BackendShed,
-                            "the backend servers rejected the request without running it"));
+        retryOrFail(failure(ErrorKind::BackendShed, "the backend servers are full"));
         return;
     default:
         mayHaveRun_ = true;
         endAttempt(attempt, result, "invalid response");
         if (route_->isRepeatable_) {
-            retryOrFail(
-                    failure(ErrorKind::BackendCut, "the backend server sent an invalid response"));
+            retryOrFail(failure(ErrorKind::BackendCut, "the answer was no proper one"));
         } else {
-            fail(failure(ErrorKind::BackendCut, "the backend server sent an invalid response"));
+            fail(failure(ErrorKind::BackendCut, "the answer was no proper one"));
         }
     }
 }
@@ -481,7 +479,7 @@
     }
     mayHaveRun_ = mayHaveRun_ || isAnySent;
     endActiveAttempts(AttemptResult::TimedOut);
-    fail(failure(ErrorKind::BackendTimeout, "no response before the request's deadline"));
+    fail(failure(ErrorKind::BackendTimeout, "no answer in the time that the request had"));
 }
 
 void ForwardedRequest::takeCallerGone()
--- a/packages/qz_gates/gate/gate.cpp
+++ b/packages/qz_gates/gate/gate.cpp
@@ -61,8 +61,7 @@
         return;
     }
     if (idsByRequestId_.count(request.requestId_) > 0) {
-        const Error error{ ErrorKind::Internal,
-                           "a request with this id is already queued or running" };
+        const Error error{ ErrorKind::Internal, "a try of this id is under way" };
         done(makeErrorAnswer(request.requestId_, server_, error));
         return;
     }
@@ -91,7 +90,7 @@
     const std::uint64_t id = found->second;
     Pending &pending = requests_.at(id);
     if (queue_.cancel(id)) {
-        fail(id, ErrorKind::CallerGone, "the caller disconnected while the request was queued");
+        fail(id, ErrorKind::CallerGone, "cancelled while queued");
         return;
     }
     if (!pending.connection_ || !pending.request_.repeatable_) {
@@ -100,15 +99,14 @@
     connections_.cancel(*pending.connection_);
     evidence_.discard(pending.inFlightId_);
     queue_.finish(id, loop_.now(), false);
-    fail(id, ErrorKind::CallerGone, "the caller disconnected while the request was running");
+    fail(id, ErrorKind::CallerGone, "cancelled while running");
     startQueuedRequests();
 }
 
 void Gate::tick()
 {
     for (const DroppedRequest &dropped : queue_.takeDroppedRequests(loop_.now())) {
-        fail(dropped.id_, dropped.kind_,
-             "the request was removed from the queue before a slot was free");
+        fail(dropped.id_, dropped.kind_, "left the queue without a slot");
     }
     verdict_ = detector_.evaluate(evidence_.digest(loop_.now()), otherServers_);
     weight_.update(verdict_, loop_.now());
@@ -125,7 +123,7 @@
         }
     }
     for (const std::uint64_t id : queued) {
-        fail(id, kind, "the gate was closed while the request was queued");
+        fail(id, kind, "the gate was closed");
     }
 }
 
@@ -154,7 +152,7 @@
     const Duration timeLeft = pending.deadline_ - loop_.now();
     if (timeLeft <= Duration::zero()) {
         queue_.finish(id, loop_.now(), false);
-        fail(id, ErrorKind::DeadlineExpiredInQueue, "the deadline expired before a slot was free");
+        fail(id, ErrorKind::DeadlineExpiredInQueue, "time was up before a slot was free");
         return;
     }
     pending.startedAt_ = loop_.now();
