--- a/packages/qz_fleet/membership/gossipqueue.cpp
+++ b/packages/qz_fleet/membership/gossipqueue.cpp
@@ -1,4 +1,4 @@
-// Choice of the updates of a message.
+// Selection of the updates for a message.
 #include "qz_fleet/membership/gossipqueue.h"
 
 #include <algorithm>
@@ -18,7 +18,7 @@
     std::vector<std::pair<int, InstanceId>> order;
     order.reserve(entries_.size());
     for (const auto &[member, entry] : entries_) {
-        order.emplace_back(entry.told_, member);
+        order.emplace_back(entry.sentCount_, member);
     }
     count = std::min(count, order.size());
     const auto end = order.begin() + static_cast<std::ptrdiff_t>(count);
@@ -27,7 +27,7 @@
     chosen.reserve(count);
     for (auto choice = order.begin(); choice != end; ++choice) {
         const auto entry = entries_.find(choice->second);
-        if (++entry->second.told_ >= entry->second.transmissions_) {
+        if (++entry->second.sentCount_ >= entry->second.transmissions_) {
             entries_.erase(entry);
         }
         chosen.push_back(std::move(choice->second));
--- a/packages/qz_fleet/membership/gossipqueue.h
+++ b/packages/qz_fleet/membership/gossipqueue.h
@@ -1,4 +1,4 @@
-// Which member updates still have to be told to others.
+// The queue of member updates that still have to be sent to other members.
 #pragma once
 
 #include "qz_core/ids/ids.h"
@@ -9,15 +9,17 @@
 
 namespace qz {
 
-/// Members with news, each to be told a number of times, those told least often first.
+/// Members whose updates are to be gossiped. Each update is sent a limited number of times; those
+/// sent least often go first.
 /// @see Membership
 class GossipQueue
 {
 public:
-    /// Tells of @p member anew, @p transmissions times from now on.
+    /// Queues the update of @p member for @p transmissions transmissions, counted from zero again.
     void add(const InstanceId &member, int transmissions);
 
-    /// Up to @p count members to tell in one message; counts as told once.
+    /// Returns at most @p count members whose updates go into one message, and counts one
+    /// transmission for each.
     std::vector<InstanceId> selectNext(std::size_t count);
 
     void remove(const InstanceId &member) { entries_.erase(member); }
@@ -26,8 +28,8 @@
 private:
     struct Entry
     {
-        int told_ = 0;
-        int transmissions_ = 0; ///< Always more than told_.
+        int sentCount_ = 0;
+        int transmissions_ = 0; ///< Always greater than sentCount_.
     };
     std::map<InstanceId, Entry> entries_;
 };
--- a/packages/qz_fleet/membership/member.h
+++ b/packages/qz_fleet/membership/member.h
@@ -1,4 +1,4 @@
-// Members of the fleet as other packages see them.
+// The members of the fleet and their changes, as other packages see them.
 #pragma once
 
 #include "qz_core/ids/ids.h"
@@ -9,8 +9,8 @@
 namespace qz {
 
 enum class MemberState {
-    Live,    ///< Takes duties and new work.
-    Leaving, ///< Finishes what it has; to be given no new duties.
+    Live,    ///< Takes new work.
+    Leaving, ///< Finishes the work that it has and must get nothing new.
 };
 
 std::string_view toString(MemberState state);
@@ -20,7 +20,7 @@
 struct Member
 {
     InstanceId id_;
-    std::string incarnation_; ///< Empty until the instance itself has been heard.
+    std::string incarnation_; ///< Identifies the process. Empty until the instance itself reports.
     MemberState state_ = MemberState::Live;
     Endpoint peerEndpoint_;
     Endpoint callerEndpoint_;
@@ -28,10 +28,10 @@
 };
 
 enum class MemberChangeKind {
-    Joined,    ///< Was unknown or gone.
-    Restarted, ///< Has another incarnation: what its former process held is lost.
-    Updated,   ///< Its state or an address has changed, or it was heard for the first time.
-    Gone,      ///< Dead, or ended by its own word, or dropped from the platform's list.
+    Joined,    ///< Was unknown or gone before.
+    Restarted, ///< Has a new incarnation; the state of its previous process is lost.
+    Updated,   ///< Its state, addresses or location changed, or it reported for the first time.
+    Gone,      ///< Died, announced its stop, or left the platform's list without ever reporting.
 };
 
 std::string_view toString(MemberChangeKind kind);
@@ -39,7 +39,7 @@
 struct MemberChange
 {
     MemberChangeKind kind_ = MemberChangeKind::Joined;
-    Member member_; ///< As it is now; for Gone, as it was last.
+    Member member_; ///< The new state; for Gone, the last known one.
 };
 
 } // namespace qz
--- a/packages/qz_fleet/membership/membership.cpp
+++ b/packages/qz_fleet/membership/membership.cpp
@@ -1,4 +1,4 @@
-// Decisions of membership.
+// Failure detection and gossip of the membership protocol.
 #include "qz_fleet/membership/membership.h"
 
 #include <algorithm>
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr std::size_t maxRelays = 1024;
-constexpr Duration relayLimit = std::chrono::seconds(1);
-constexpr std::size_t accusersToConfirm = 2;
-/// Each neighbour, before and after on each ring, is told of news twice.
+constexpr Duration relayTimeout = std::chrono::seconds(1);
+constexpr std::size_t reportersToConfirm = 2;
+/// Enough to send an update twice to the predecessor and to the successor on each ring.
 constexpr int transmissionsPerRing = 4;
-constexpr Duration cleaningPeriod = std::chrono::seconds(10);
+constexpr Duration cleanupPeriod = std::chrono::seconds(10);
 
 MemberUpdate toUpdate(const Member &member)
 {
@@ -61,31 +61,31 @@
     , lastExchange_(builder.start_)
     , lastTick_(builder.start_)
     , nextReconnect_(builder.start_ + options_.reconnectPeriod_)
-    , nextPrompt_(builder.start_)
-    , nextCleaning_(builder.start_)
+    , nextEarlyProbe_(builder.start_)
+    , nextCleanup_(builder.start_)
 {
-    refresh(builder.start_);
+    applyTableChanges(builder.start_);
 }
 
 Membership::Outgoing Membership::tick(TimePoint now)
 {
     Outgoing out;
-    noticePause(now);
-    forgetOld(now);
-    if (isPromptDue_ && now >= nextPrompt_) {
-        isPromptDue_ = false;
-        nextPrompt_ = now + options_.earlyProbePeriod_;
+    detectPause(now);
+    removeOldEntries(now);
+    if (isEarlyProbeDue_ && now >= nextEarlyProbe_) {
+        isEarlyProbeDue_ = false;
+        nextEarlyProbe_ = now + options_.earlyProbePeriod_;
         prober_.probeSoon(now);
     }
     if (table_.self().isDead()) {
         return out;
     }
     for (const ProbeAction &action : prober_.tick(now)) {
-        std::visit([&](const auto &each) { act(each, now, out); }, action);
+        std::visit([&](const auto &each) { perform(each, now, out); }, action);
     }
-    concludeSuspicions(now);
-    probeLost(now, out);
-    refresh(now);
+    resolveSuspicions(now);
+    probeUnreachable(now, out);
+    applyTableChanges(now);
     return out;
 }
 
@@ -96,21 +96,21 @@
     if (!isValid(message) || message.sender_.id_ != from || table_.self().isDead()) {
         return out;
     }
-    takeContact(from, message, now);
-    takeUpdate(message.sender_, now);
+    recordContact(from, message, now);
+    applyUpdate(message.sender_, now);
     for (const MemberUpdate &update : message.updates_) {
-        takeUpdate(update, now);
+        applyUpdate(update, now);
     }
-    refresh(now);
+    applyTableChanges(now);
     switch (message.kind()) {
     case GossipKind::Probe:
         out.push_back(makeMessage(from, GossipKind::Ack, message.sequence_, now));
         break;
     case GossipKind::Ack:
-        takeAck(from, message, now, out);
+        handleAck(from, message, now, out);
         break;
     case GossipKind::ProbeRequest:
-        takeProbeRequest(from, message, now, out);
+        handleProbeRequest(from, message, now, out);
         break;
     }
     return out;
@@ -119,13 +119,14 @@
 void Membership::applyListing(const InstanceListing &listing, TimePoint now)
 {
     for (const InstanceId &dropped : table_.applyListing(listing)) {
-        // The list and our own probes agree: no need to hear a third word.
-        if (accusedSince_.count(dropped) != 0 || prober_.isFailing(dropped)) {
+        // The platform's list confirms the failed probes of this instance, so no confirmation by
+        // another member is needed.
+        if (suspectedSince_.count(dropped) != 0 || prober_.isFailing(dropped)) {
             table_.declareDead(dropped, now);
-            spread(dropped);
+            gossipUpdate(dropped);
         }
     }
-    refresh(now);
+    applyTableChanges(now);
 }
 
 void Membership::handleSendFailure(const InstanceId &peer, TimePoint now)
@@ -135,21 +136,21 @@
 
 void Membership::handleLinkLost()
 {
-    isPromptDue_ = true;
+    isEarlyProbeDue_ = true;
 }
 
 void Membership::startLeaving(TimePoint now)
 {
-    table_.leave();
-    spread(table_.self().id_);
-    refresh(now);
+    table_.markSelfLeaving();
+    gossipUpdate(table_.self().id_);
+    applyTableChanges(now);
 }
 
 Membership::Outgoing Membership::stop(TimePoint now)
 {
     constexpr std::uint64_t noSequence = 0;
     Outgoing out;
-    table_.end();
+    table_.markSelfStopped();
     const InstanceId &self = table_.self().id_;
     std::vector<InstanceId> neighbours = rings_.subjectsOf(self);
     for (const InstanceId &observer : rings_.observersOf(self)) {
@@ -167,7 +168,7 @@
 {
     if (version > rulesVersion_) {
         rulesVersion_ = version;
-        isPromptDue_ = true;
+        isEarlyProbeDue_ = true;
     }
 }
 
@@ -204,7 +205,7 @@
     for (const InstanceId &subject : prober_.subjects()) {
         subjects.push_back({ { "instance", subject.value() },
                              { "failing", prober_.isFailing(subject) },
-                             { "accused", accusedSince_.count(subject) != 0 } });
+                             { "accused", suspectedSince_.count(subject) != 0 } });
     }
     nlohmann::json dead = nlohmann::json::array();
     for (const InstanceId &id : table_.deadMembers()) {
@@ -216,39 +217,41 @@
              { "last_exchange_ms", sinceExchange.count() },
              { "listed_leaving", isListedLeaving() },
              { "rules_version", rulesVersion_ },
-             { "highest_rules_version", highestRules_.version_ },
+             { "highest_rules_version", highestRulesVersion_.version_ },
              { "members", std::move(members) },
              { "dead", std::move(dead) },
              { "monitored", std::move(subjects) },
-             { "news_to_tell", queue_.size() } };
+             { "news_to_tell", gossipQueue_.size() } };
 }
 
-void Membership::act(const DirectProbe &probe, TimePoint now, Outgoing &out)
+void Membership::perform(const DirectProbe &probe, TimePoint now, Outgoing &out)
 {
     out.push_back(makeMessage(probe.subject_, GossipKind::Probe, probe.sequence_, now));
 }
 
-void Membership::act(const IndirectProbe &probe, TimePoint now, Outgoing &out)
+void Membership::perform(const IndirectProbe &probe, TimePoint now, Outgoing &out)
 {
-    for (const InstanceId &helper : helpersFor(probe.subject_)) {
-        out.push_back(makeMessage(helper, GossipKind::ProbeRequest, probe.sequence_, now));
+    for (const InstanceId &prober : chooseIndirectProbers(probe.subject_)) {
+        out.push_back(makeMessage(prober, GossipKind::ProbeRequest, probe.sequence_, now));
         out.back().message_.subject_ = probe.subject_;
     }
 }
 
-void Membership::act(const FailedRound &round, TimePoint now, Outgoing &out)
+void Membership::perform(const FailedRound &round, TimePoint now, Outgoing &out)
 {
-    // Without an exchange with anybody since, it may be this instance that is cut off.
+    // If no member has confirmed contact since the first failed round began, this instance
+    // itself may be cut off.
     if (round.failures_ < options_.failuresBeforeSuspicion_
         || lastExchange_ <= round.failingSince_) {
         return;
     }
-    accusedSince_.try_emplace(round.subject_, now);
+    suspectedSince_.try_emplace(round.subject_, now);
     if (!table_.addSuspicion(round.subject_, table_.self().id_)) {
         return;
     }
-    accusedSince_[round.subject_] = now; // The first suspicion of this version.
-    spread(round.subject_);
+    // The first suspicion of this version by this instance restarts the timeout.
+    suspectedSince_[round.subject_] = now;
+    gossipUpdate(round.subject_);
     for (const InstanceId &observer : rings_.observersOf(round.subject_)) {
         if (observer != table_.self().id_) {
             const std::uint64_t sequence = prober_.nextSequence();
@@ -257,65 +260,67 @@
     }
 }
 
-/// Only an accuser that still cannot reach the suspect declares it dead.
-void Membership::concludeSuspicions(TimePoint now)
+/// Declares suspects dead after the timeout. Only an instance that reported a suspect and still
+/// cannot reach it does so.
+void Membership::resolveSuspicions(TimePoint now)
 {
-    for (auto entry = accusedSince_.begin(); entry != accusedSince_.end();) {
+    for (auto entry = suspectedSince_.begin(); entry != suspectedSince_.end();) {
         const MemberUpdate *suspect = table_.find(entry->first);
-        const bool isOpen = suspect != nullptr && suspect->verdict() == MemberVerdict::Suspect
-                && prober_.isFailing(entry->first);
-        if (!isOpen) {
-            entry = accusedSince_.erase(entry);
+        const bool isStillSuspect = suspect != nullptr
+                && suspect->verdict() == MemberVerdict::Suspect && prober_.isFailing(entry->first);
+        if (!isStillSuspect) {
+            entry = suspectedSince_.erase(entry);
             continue;
         }
-        const bool isConfirmed = suspect->reporters_.size() >= accusersToConfirm;
-        const Duration limit = isConfirmed ? options_.confirmedSuspicionTimeout_
-                                           : options_.unconfirmedSuspicionTimeout_;
-        if (now - entry->second >= limit && !isCutOff(now)) {
+        const bool isConfirmed = suspect->reporters_.size() >= reportersToConfirm;
+        const Duration timeout = isConfirmed ? options_.confirmedSuspicionTimeout_
+                                             : options_.unconfirmedSuspicionTimeout_;
+        if (now - entry->second >= timeout && !isCutOff(now)) {
             table_.declareDead(entry->first, now);
-            spread(entry->first);
+            gossipUpdate(entry->first);
         }
         ++entry;
     }
 }
 
-/// Two parts of a fleet that have declared each other dead find each other again.
-void Membership::probeLost(TimePoint now, Outgoing &out)
+/// Probes a random dead member, or any member while this instance is cut off. Without this, two
+/// parts of a fleet that have declared each other dead would never merge again.
+void Membership::probeUnreachable(TimePoint now, Outgoing &out)
 {
     if (now < nextReconnect_) {
         return;
     }
     nextReconnect_ = now + options_.reconnectPeriod_;
-    std::vector<InstanceId> lost = table_.deadMembers();
+    std::vector<InstanceId> unreachable = table_.deadMembers();
     if (isCutOff(now)) {
-        lost = idsOf(members_);
+        unreachable = idsOf(members_);
     }
-    if (lost.empty()) {
+    if (unreachable.empty()) {
         return;
     }
-    std::uniform_int_distribution<std::size_t> choice(0, lost.size() - 1);
-    const InstanceId &chosen = lost[choice(random_)];
+    std::uniform_int_distribution<std::size_t> choice(0, unreachable.size() - 1);
+    const InstanceId &chosen = unreachable[choice(random_)];
     if (chosen != table_.self().id_) {
         out.push_back(makeMessage(chosen, GossipKind::Probe, prober_.nextSequence(), now));
     }
 }
 
-void Membership::noticePause(TimePoint now)
+void Membership::detectPause(TimePoint now)
 {
     if (now - lastTick_ > options_.maxTickGap_) {
         prober_.reset(now);
-        accusedSince_.clear();
+        suspectedSince_.clear();
         relays_.clear();
     }
     lastTick_ = now;
 }
 
-void Membership::forgetOld(TimePoint now)
+void Membership::removeOldEntries(TimePoint now)
 {
-    if (now < nextCleaning_) {
+    if (now < nextCleanup_) {
         return;
     }
-    nextCleaning_ = now + cleaningPeriod;
+    nextCleanup_ = now + cleanupPeriod;
     table_.removeExpired(now, options_.deadRetention_);
     for (auto relay = relays_.begin(); relay != relays_.end();) {
         relay = now >= relay->second.expiresAt_ ? relays_.erase(relay) : std::next(relay);
@@ -326,7 +331,7 @@
     }
 }
 
-void Membership::takeContact(const InstanceId &from, const GossipMessage &message, TimePoint now)
+void Membership::recordContact(const InstanceId &from, const GossipMessage &message, TimePoint now)
 {
     contacts_[from] = Contact{ now,
                                message.viewDigest_,
@@ -337,43 +342,47 @@
     if (message.hasHeardFromReceiver_) {
         lastExchange_ = now;
     }
-    if (message.rulesVersion_ > highestRules_.version_) {
-        highestRules_ = AnnouncedRulesVersion{ message.rulesVersion_, from };
+    if (message.rulesVersion_ > highestRulesVersion_.version_) {
+        highestRulesVersion_ = AnnouncedRulesVersion{ message.rulesVersion_, from };
     }
 }
 
-void Membership::takeUpdate(MemberUpdate update, TimePoint now)
+void Membership::applyUpdate(MemberUpdate update, TimePoint now)
 {
-    const bool isOthersVerdict = update.isDead() && !update.hasAnnouncedStop();
-    if (isOthersVerdict && hasHeard(update.id_, now) && contacts_[update.id_].hasHeardUs_) {
-        update.setVerdict(MemberVerdict::Suspect); // Reached a moment ago: let it refute.
+    const bool isReportedDead = update.isDead() && !update.hasAnnouncedStop();
+    if (isReportedDead && hasRecentlyHeardFrom(update.id_, now)
+        && contacts_[update.id_].hasHeardFromSelf_) {
+        // Recent heartbeats went both ways, so the member gets the chance to refute this.
+        update.setVerdict(MemberVerdict::Suspect);
     }
     const InstanceId id = update.id_;
     if (table_.merge(update, now) == MergeResult::ChangedGossipNow) {
-        spread(id);
+        gossipUpdate(id);
     }
 }
 
-void Membership::takeAck(const InstanceId &from, const GossipMessage &message, TimePoint now,
-                         Outgoing &out)
+void Membership::handleAck(const InstanceId &from, const GossipMessage &message, TimePoint now,
+                           Outgoing &out)
 {
     const auto relay = relays_.find(message.sequence_);
     if (relay != relays_.end() && relay->second.subject_ == from) {
-        const Relay done = relay->second;
+        const Relay finished = relay->second;
         relays_.erase(relay);
-        out.push_back(makeMessage(done.origin_, GossipKind::Ack, done.originSequence_, now));
+        out.push_back(
+                makeMessage(finished.origin_, GossipKind::Ack, finished.originSequence_, now));
         out.back().message_.subject_ = from;
         if (const MemberUpdate *subject = table_.find(from)) {
-            out.back().message_.updates_.push_back(*subject); // It may have refuted something.
+            // The subject may have refuted a suspicion.
+            out.back().message_.updates_.push_back(*subject);
         }
         return;
     }
-    const InstanceId &answerer = message.subject_.isEmpty() ? from : message.subject_;
-    prober_.acknowledge(message.sequence_, answerer, now);
+    const InstanceId &responder = message.subject_.isEmpty() ? from : message.subject_;
+    prober_.acknowledge(message.sequence_, responder, now);
 }
 
-void Membership::takeProbeRequest(const InstanceId &from, const GossipMessage &message,
-                                  TimePoint now, Outgoing &out)
+void Membership::handleProbeRequest(const InstanceId &from, const GossipMessage &message,
+                                    TimePoint now, Outgoing &out)
 {
     const InstanceId &subject = message.subject_;
     const bool isKnown = table_.find(subject) != nullptr;
@@ -381,7 +390,7 @@
         return;
     }
     const std::uint64_t sequence = prober_.nextSequence();
-    relays_[sequence] = Relay{ from, message.sequence_, subject, now + relayLimit };
+    relays_[sequence] = Relay{ from, message.sequence_, subject, now + relayTimeout };
     out.push_back(makeMessage(subject, GossipKind::Probe, sequence, now));
 }
 
@@ -392,7 +401,7 @@
     message.setKind(kind);
     message.sequence_ = sequence;
     message.sender_ = table_.self();
-    message.hasHeardFromReceiver_ = hasHeard(to, now);
+    message.hasHeardFromReceiver_ = hasRecentlyHeardFrom(to, now);
     message.rulesVersion_ = rulesVersion_;
     message.viewDigest_ = table_.digest();
     message.memberCount_ = static_cast<std::uint32_t>(members_.size());
@@ -403,52 +412,52 @@
 std::vector<MemberUpdate> Membership::chooseUpdates(const InstanceId &to)
 {
     std::vector<MemberUpdate> updates;
-    // What is held against the receiver, or a former process of its, goes first: only the
-    // receiver can set that right.
+    // The state of the receiver itself goes first if the receiver may not know it, such as a
+    // suspicion or the state of its previous process. Only the receiver can refute it.
     const MemberUpdate *receiver = table_.find(to);
     if (receiver != nullptr
         && (receiver->isSelfReported() || receiver->verdict() != MemberVerdict::Alive)) {
         const auto contact = contacts_.find(to);
-        const bool isSure = contact != contacts_.end()
+        const bool isReceiverUpToDate = contact != contacts_.end()
                 && receiver->verdict() == MemberVerdict::Alive
                 && contact->second.version_ == receiver->version_
                 && contact->second.incarnation_ == receiver->incarnation_;
-        if (!isSure) {
+        if (!isReceiverUpToDate) {
             updates.push_back(*receiver);
         }
     }
-    for (const InstanceId &id : queue_.selectNext(options_.maxUpdatesPerMessage_)) {
+    for (const InstanceId &id : gossipQueue_.selectNext(options_.maxUpdatesPerMessage_)) {
         const MemberUpdate *update = table_.find(id);
         if (update != nullptr && id != to) {
             updates.push_back(*update);
         }
     }
     const std::size_t limit = std::max(options_.maxUpdatesPerMessage_, updates.size());
-    const std::size_t room = std::min(limit - updates.size(), syncCount(to));
-    for (MemberUpdate &update : table_.nextSyncUpdates(room)) {
+    const std::size_t available = std::min(limit - updates.size(), syncUpdateCount(to));
+    for (MemberUpdate &update : table_.nextSyncUpdates(available)) {
         updates.push_back(std::move(update));
     }
     return updates;
 }
 
-std::size_t Membership::syncCount(const InstanceId &to) const
+std::size_t Membership::syncUpdateCount(const InstanceId &to) const
 {
     const auto contact = contacts_.find(to);
     if (contact == contacts_.end() || contact->second.viewDigest_ == table_.digest()) {
         return 0;
     }
-    const bool isSmall = contact->second.memberCount_ < members_.size();
-    return isSmall ? options_.maxUpdatesPerMessage_ : options_.syncUpdatesPerMessage_;
+    const bool knowsFewerMembers = contact->second.memberCount_ < members_.size();
+    return knowsFewerMembers ? options_.maxUpdatesPerMessage_ : options_.syncUpdatesPerMessage_;
 }
 
-bool Membership::hasHeard(const InstanceId &member, TimePoint now) const
+bool Membership::hasRecentlyHeardFrom(const InstanceId &member, TimePoint now) const
 {
     const auto contact = contacts_.find(member);
     return contact != contacts_.end()
             && now - contact->second.heardAt_ <= options_.recentContactLimit_;
 }
 
-std::vector<InstanceId> Membership::helpersFor(const InstanceId &subject)
+std::vector<InstanceId> Membership::chooseIndirectProbers(const InstanceId &subject)
 {
     std::vector<InstanceId> candidates = rings_.observersOf(subject);
     for (const InstanceId &neighbour : prober_.subjects()) {
@@ -456,27 +465,28 @@
     }
     std::sort(candidates.begin(), candidates.end());
     candidates.erase(std::unique(candidates.begin(), candidates.end()), candidates.end());
-    const auto isUnfit = [&](const InstanceId &id) {
+    const auto isExcluded = [&](const InstanceId &id) {
         return id == subject || id == table_.self().id_ || prober_.isFailing(id);
     };
-    candidates.erase(std::remove_if(candidates.begin(), candidates.end(), isUnfit),
+    candidates.erase(std::remove_if(candidates.begin(), candidates.end(), isExcluded),
                      candidates.end());
     std::shuffle(candidates.begin(), candidates.end(), random_);
     candidates.resize(std::min(candidates.size(), options_.indirectProberCount_));
     return candidates;
 }
 
-void Membership::spread(const InstanceId &member)
+void Membership::gossipUpdate(const InstanceId &member)
 {
     const int rings = static_cast<int>(options_.ringCount_);
-    if (member != table_.self().id_) { // Its own state is in each message anyway.
-        queue_.add(member, transmissionsPerRing * rings);
+    // Each message carries the state of its sender anyway.
+    if (member != table_.self().id_) {
+        gossipQueue_.add(member, transmissionsPerRing * rings);
     }
-    isPromptDue_ = true;
+    isEarlyProbeDue_ = true;
 }
 
-/// Follows the table after it has changed.
-void Membership::refresh(TimePoint now)
+/// Updates members_, the rings and the prober after changes of the table.
+void Membership::applyTableChanges(TimePoint now)
 {
     std::vector<MemberChange> changes = table_.takeChanges();
     if (changes.empty()) {
@@ -485,10 +495,10 @@
     for (const MemberChange &change : changes) {
         updateMembers(change);
     }
-    const auto movesRings = [](const MemberChange &change) {
+    const auto changesRings = [](const MemberChange &change) {
         return change.kind_ == MemberChangeKind::Joined || change.kind_ == MemberChangeKind::Gone;
     };
-    if (std::any_of(changes.begin(), changes.end(), movesRings)) {
+    if (std::any_of(changes.begin(), changes.end(), changesRings)) {
         rings_.setMembers(idsOf(members_));
         prober_.setSubjects(rings_.subjectsOf(table_.self().id_), now);
     }
@@ -501,16 +511,16 @@
         return member.id_ < id;
     };
     const InstanceId &id = change.member_.id_;
-    const auto place = std::lower_bound(members_.begin(), members_.end(), id, isBefore);
-    const bool isHeld = place != members_.end() && place->id_ == id;
+    const auto position = std::lower_bound(members_.begin(), members_.end(), id, isBefore);
+    const bool isPresent = position != members_.end() && position->id_ == id;
     if (change.kind_ == MemberChangeKind::Gone) {
-        if (isHeld) {
-            members_.erase(place);
+        if (isPresent) {
+            members_.erase(position);
         }
-    } else if (isHeld) {
-        *place = change.member_;
+    } else if (isPresent) {
+        *position = change.member_;
     } else {
-        members_.insert(place, change.member_);
+        members_.insert(position, change.member_);
     }
 }
 
--- a/packages/qz_fleet/membership/membershipdriver.cpp
+++ b/packages/qz_fleet/membership/membershipdriver.cpp
@@ -1,4 +1,4 @@
-// Timers, links and list of a Membership.
+// Timers, message exchange and list fetches of a Membership.
 #include "qz_fleet/membership/membershipdriver.h"
 
 #include "qz_core/logging/logger.h"
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Duration tickPeriod = std::chrono::milliseconds(100);
-constexpr Duration listPeriod = std::chrono::seconds(2);
+constexpr Duration listFetchPeriod = std::chrono::seconds(2);
 
 } // namespace
 
@@ -31,7 +31,7 @@
             MessageKind::MembershipGossip,
             [this](const InstanceId &from, std::string_view payload) { receive(from, payload); });
     tickTimer_ = parts_.timers_.callEvery(tickPeriod, [this] { tick(); });
-    listTimer_ = parts_.timers_.callEvery(listPeriod, [this] { fetchList(); });
+    listTimer_ = parts_.timers_.callEvery(listFetchPeriod, [this] { fetchList(); });
     fetchList();
     publishChanges();
 }
@@ -40,7 +40,7 @@
 {
     tickTimer_.reset();
     listTimer_.reset();
-    deliver(parts_.membership_.stop(parts_.clock_.now()));
+    sendAll(parts_.membership_.stop(parts_.clock_.now()));
 }
 
 void MembershipDriver::startLeaving()
@@ -51,7 +51,7 @@
 
 void MembershipDriver::tick()
 {
-    deliver(parts_.membership_.tick(parts_.clock_.now()));
+    sendAll(parts_.membership_.tick(parts_.clock_.now()));
     publishChanges();
 }
 
@@ -62,7 +62,7 @@
     }
     isFetching_ = true;
     const std::weak_ptr<bool> alive = isAlive_;
-    parts_.list_.fetch([this, alive](const Result<InstanceListing> &listing) {
+    parts_.instanceList_.fetch([this, alive](const Result<InstanceListing> &listing) {
         if (alive.expired()) {
             return;
         }
@@ -75,8 +75,8 @@
         }
         parts_.membership_.applyListing(listing.value(), parts_.clock_.now());
         publishChanges();
-        if (listed_) {
-            listed_(listing.value());
+        if (listingListener_) {
+            listingListener_(listing.value());
         }
     });
 }
@@ -89,11 +89,11 @@
             { { "peer", from.value() }, { "cause", message.error().message_ } });
         return;
     }
-    deliver(parts_.membership_.receive(from, message.value(), parts_.clock_.now()));
+    sendAll(parts_.membership_.receive(from, message.value(), parts_.clock_.now()));
     publishChanges();
 }
 
-void MembershipDriver::deliver(const Membership::Outgoing &outgoing)
+void MembershipDriver::sendAll(const Membership::Outgoing &outgoing)
 {
     for (const OutgoingGossip &gossip : outgoing) {
         const auto sent = parts_.links_.send(gossip.to_, MessageKind::MembershipGossip,
@@ -116,8 +116,8 @@
             { { "member", change.member_.id_.value() },
               { "change", toString(change.kind_) },
               { "state", toString(change.member_.state_) } });
-        if (changed_) {
-            changed_(change);
+        if (changeListener_) {
+            changeListener_(change);
         }
     }
 }
--- a/packages/qz_fleet/membership/membershipdriver.h
+++ b/packages/qz_fleet/membership/membershipdriver.h
@@ -1,4 +1,4 @@
-// Membership on the event loop: its timers, links and the platform's list.
+// Runs a Membership on the event loop, with its timers, links and the platform's list.
 #pragma once
 
 #include "qz_core/loop/eventloop.h"
@@ -11,8 +11,8 @@
 
 namespace qz {
 
-/// Drives a Membership: lets its time pass, carries its heartbeats over PeerLinks, feeds it
-/// with the InstanceList and keeps the addresses of the links up to date.
+/// Drives a Membership: calls its tick(), exchanges its heartbeats over PeerLinks, passes on the
+/// instances that it fetches from the InstanceList, and keeps the peers of the links up to date.
 /// @see Membership
 class MembershipDriver
 {
@@ -25,7 +25,7 @@
     {
         Membership &membership_;
         PeerLinks &links_;
-        InstanceList &list_;
+        InstanceList &instanceList_;
         const Clock &clock_;
         Timers &timers_;
     };
@@ -35,22 +35,22 @@
     MembershipDriver(const MembershipDriver &) = delete;
     MembershipDriver &operator=(const MembershipDriver &) = delete;
 
-    /// Begins; takes over the links' handler for MembershipGossip.
+    /// Starts the timers and sets the handler of the links for MembershipGossip.
     void start();
 
-    /// Tells the neighbours that this instance ends, and stops.
+    /// Stops the timers and announces to the neighbours that this instance stops.
     void stop();
 
-    /// Called for each change of the members.
-    void setChangeListener(ChangeListener listener) { changed_ = std::move(listener); }
+    /// Sets a function that is called for each change of the members.
+    void setChangeListener(ChangeListener listener) { changeListener_ = std::move(listener); }
 
-    /// Called with each listing that was fetched.
-    void setListingListener(ListingListener listener) { listed_ = std::move(listener); }
+    /// Sets a function that is called with each list that was fetched.
+    void setListingListener(ListingListener listener) { listingListener_ = std::move(listener); }
 
-    /// To be called by the links' handler for lost links.
+    /// To be called by the handler for lost links.
     void handleLinkLost() { parts_.membership_.handleLinkLost(); }
 
-    /// This instance is leaving; heartbeats go on until stop().
+    /// Announces that this instance is leaving. Heartbeats continue until stop().
     void startLeaving();
 
     void setRulesVersion(RulesVersion version) { parts_.membership_.setRulesVersion(version); }
@@ -59,16 +59,17 @@
     void tick();
     void fetchList();
     void receive(const InstanceId &from, std::string_view payload);
-    void deliver(const Membership::Outgoing &outgoing);
+    void sendAll(const Membership::Outgoing &outgoing);
     void publishChanges();
 
     Parts parts_;
-    ChangeListener changed_;
-    ListingListener listed_;
+    ChangeListener changeListener_;
+    ListingListener listingListener_;
     Timers::HandlePtr tickTimer_;
     Timers::HandlePtr listTimer_;
-    bool isFetching_ = false;                                      ///< At most one fetch runs.
-    std::shared_ptr<bool> isAlive_ = std::make_shared<bool>(true); ///< For late completions.
+    bool isFetching_ = false; ///< At most one fetch is in progress.
+    /// Expires with the driver, so that late completions can detect its destruction.
+    std::shared_ptr<bool> isAlive_ = std::make_shared<bool>(true);
 };
 
 } // namespace qz
--- a/packages/qz_fleet/membership/membertable.cpp
+++ b/packages/qz_fleet/membership/membertable.cpp
@@ -1,4 +1,4 @@
-// Merging of the list, the members' own word and verdicts.
+// Merging of the platform's list, self-reported states and verdicts.
 #include "qz_fleet/membership/membertable.h"
 
 #include <xxhash.h>
@@ -58,48 +58,48 @@
 
 MemberTable::MemberTable(MemberUpdate self)
     : self_(std::move(self))
-    , turn_(self_.id_) // Neighbours then tell each other of different members.
+    , syncPosition_(self_.id_) // Neighbours start at different members and send different updates.
 {
     assert(isValid(self_) && self_.isSelfReported());
-    touch(self_.id_);
+    markChanged(self_.id_);
 }
 
-void MemberTable::leave()
+void MemberTable::markSelfLeaving()
 {
     self_.isLeaving_ = true;
-    touch(self_.id_);
+    markChanged(self_.id_);
 }
 
-void MemberTable::end()
+void MemberTable::markSelfStopped()
 {
     self_.isLeaving_ = true;
     self_.setVerdict(MemberVerdict::Dead);
     self_.reporters_ = { self_.id_ };
-    touch(self_.id_);
+    markChanged(self_.id_);
 }
 
-MergeResult MemberTable::merge(const MemberUpdate &news, TimePoint now)
+MergeResult MemberTable::merge(const MemberUpdate &update, TimePoint now)
 {
-    if (news.id_ == self_.id_) {
-        return mergeSelf(news);
+    if (update.id_ == self_.id_) {
+        return mergeUpdateAboutSelf(update);
     }
-    const auto entry = records_.find(news.id_);
+    const auto entry = records_.find(update.id_);
     if (entry == records_.end()) {
-        return mergeUnknown(news);
+        return mergeUnknownMember(update);
     }
     Record &record = entry->second;
-    const bool wasHeard = record.update_.isSelfReported();
+    const bool wasSelfReported = record.update_.isSelfReported();
     const bool wasDead = record.update_.isDead();
-    if (!mergeUpdate(record.update_, news)) {
+    if (!mergeUpdate(record.update_, update)) {
         return MergeResult::Unchanged;
     }
     if (record.update_.isDead() && !wasDead) {
         record.deadSince_ = now;
     }
-    touch(news.id_);
-    const bool isFirstWord = !wasHeard && !wasDead && !record.update_.isLeaving_
+    markChanged(update.id_);
+    const bool isFirstSelfReport = !wasSelfReported && !wasDead && !record.update_.isLeaving_
             && record.update_.verdict() == MemberVerdict::Alive;
-    return isFirstWord ? MergeResult::ChangedSyncLater : MergeResult::ChangedGossipNow;
+    return isFirstSelfReport ? MergeResult::ChangedSyncLater : MergeResult::ChangedGossipNow;
 }
 
 std::vector<InstanceId> MemberTable::applyListing(const InstanceListing &listing)
@@ -107,7 +107,7 @@
     std::set<InstanceId> listedNow;
     for (const ListedInstance &listed : listing.instances_) {
         listedNow.insert(listed.id_);
-        applyListed(listed);
+        applyListedInstance(listed);
     }
     std::vector<InstanceId> dropped;
     for (auto &[id, record] : records_) {
@@ -115,13 +115,13 @@
             record.isListed_ = false;
             record.isListedLeaving_ = false;
             dropped.push_back(id);
-            touch(id);
+            markChanged(id);
         }
     }
     return dropped;
 }
 
-bool MemberTable::addSuspicion(const InstanceId &member, const InstanceId &accuser)
+bool MemberTable::addSuspicion(const InstanceId &member, const InstanceId &reporter)
 {
     const auto entry = records_.find(member);
     if (entry == records_.end() || entry->second.update_.isDead()) {
@@ -133,9 +133,9 @@
         update.setVerdict(MemberVerdict::Suspect);
         update.reporters_.clear();
     }
-    const bool isNew = addReporter(update, accuser);
+    const bool isNew = addReporter(update, reporter);
     if (isNew) {
-        touch(member);
+        markChanged(member);
     }
     return isNew;
 }
@@ -148,7 +148,7 @@
     }
     entry->second.update_.setVerdict(MemberVerdict::Dead);
     entry->second.deadSince_ = now;
-    touch(member);
+    markChanged(member);
     return true;
 }
 
@@ -157,9 +157,9 @@
     for (auto entry = records_.begin(); entry != records_.end();) {
         const Record &record = entry->second;
         const bool isOld = record.update_.isDead() && now - record.deadSince_ >= retention;
-        const bool isForgotten = !record.isListed_ && !record.reported_
+        const bool isRemovable = !record.isListed_ && !record.reported_
                 && (isOld || !record.update_.isSelfReported());
-        entry = isForgotten ? records_.erase(entry) : std::next(entry);
+        entry = isRemovable ? records_.erase(entry) : std::next(entry);
     }
 }
 
@@ -172,12 +172,12 @@
 std::vector<MemberUpdate> MemberTable::nextSyncUpdates(std::size_t count)
 {
     std::vector<MemberUpdate> updates;
-    auto entry = records_.upper_bound(turn_);
-    for (std::size_t seen = 0; seen < records_.size() && updates.size() < count; ++seen) {
+    auto entry = records_.upper_bound(syncPosition_);
+    for (std::size_t visited = 0; visited < records_.size() && updates.size() < count; ++visited) {
         if (entry == records_.end()) {
             entry = records_.begin();
         }
-        turn_ = entry->first;
+        syncPosition_ = entry->first;
         if (entry->second.update_.isSelfReported()) {
             updates.push_back(entry->second.update_);
         }
@@ -210,44 +210,45 @@
 std::vector<MemberChange> MemberTable::takeChanges()
 {
     std::vector<MemberChange> changes;
-    for (const InstanceId &id : std::exchange(touched_, {})) {
+    for (const InstanceId &id : std::exchange(changedMembers_, {})) {
         const auto entry = records_.find(id);
         if (id != self_.id_ && entry == records_.end()) {
             continue;
         }
         auto &reported = id == self_.id_ ? reportedSelf_ : entry->second.reported_;
-        if (auto change = changeOf(id, reported)) {
+        if (auto change = detectChange(id, reported)) {
             changes.push_back(std::move(*change));
         }
     }
     return changes;
 }
 
-MergeResult MemberTable::mergeSelf(const MemberUpdate &news)
+MergeResult MemberTable::mergeUpdateAboutSelf(const MemberUpdate &update)
 {
     if (self_.isDead()) {
         return MergeResult::Unchanged;
     }
-    const bool isAccused = isSameVersion(news, self_) && news.verdict() != MemberVerdict::Alive;
-    if (!isAccused && !isNewer(news, self_)) {
+    const bool isSuspected =
+            isSameVersion(update, self_) && update.verdict() != MemberVerdict::Alive;
+    if (!isSuspected && !isNewer(update, self_)) {
         return MergeResult::Unchanged;
     }
-    self_.version_ = news.version_ + 1;
-    touch(self_.id_);
+    self_.version_ = update.version_ + 1;
+    markChanged(self_.id_);
     return MergeResult::ChangedGossipNow;
 }
 
-MergeResult MemberTable::mergeUnknown(const MemberUpdate &news)
+MergeResult MemberTable::mergeUnknownMember(const MemberUpdate &update)
 {
-    if (news.isDead() || !news.isSelfReported() || records_.size() >= maxMembers) {
+    if (update.isDead() || !update.isSelfReported() || records_.size() >= maxMembers) {
         return MergeResult::Unchanged;
     }
-    records_[news.id_].update_ = news;
-    touch(news.id_);
+    records_[update.id_].update_ = update;
+    markChanged(update.id_);
     return MergeResult::ChangedGossipNow;
 }
 
-void MemberTable::applyListed(const ListedInstance &listed)
+void MemberTable::applyListedInstance(const ListedInstance &listed)
 {
     const bool isLeaving = listed.state_ == ListedState::Leaving;
     if (listed.id_ == self_.id_) {
@@ -260,7 +261,7 @@
     Record &record = records_[listed.id_];
     record.isListed_ = true;
     record.isListedLeaving_ = isLeaving;
-    touch(listed.id_);
+    markChanged(listed.id_);
     if (record.update_.isSelfReported()) {
         return;
     }
@@ -270,10 +271,10 @@
     record.update_.location_ = listed.location_;
 }
 
-/// To be called after each change of what is known of @p member.
-void MemberTable::touch(const InstanceId &member)
+/// Records a change of @p member and updates the digest. Must be called after each change.
+void MemberTable::markChanged(const InstanceId &member)
 {
-    touched_.insert(member);
+    changedMembers_.insert(member);
     const auto entry = records_.find(member);
     const bool isSelf = member == self_.id_;
     const MemberUpdate &update = isSelf ? self_ : entry->second.update_;
@@ -283,7 +284,7 @@
     digest_ ^= hash;
 }
 
-std::optional<Member> MemberTable::effective(const InstanceId &member) const
+std::optional<Member> MemberTable::currentMember(const InstanceId &member) const
 {
     if (member == self_.id_) {
         return self_.isDead() ? std::nullopt
@@ -294,17 +295,17 @@
         return std::nullopt;
     }
     const Record &record = entry->second;
-    const bool isSpokenFor = record.isListed_ || record.update_.isSelfReported();
-    if (!isSpokenFor || record.update_.isDead()) {
+    const bool isListedOrSelfReported = record.isListed_ || record.update_.isSelfReported();
+    if (!isListedOrSelfReported || record.update_.isDead()) {
         return std::nullopt;
     }
     return toMember(record.update_, record.isListedLeaving_);
 }
 
-std::optional<MemberChange> MemberTable::changeOf(const InstanceId &member,
-                                                  std::optional<Member> &reported)
+std::optional<MemberChange> MemberTable::detectChange(const InstanceId &member,
+                                                      std::optional<Member> &reported)
 {
-    const std::optional<Member> before = std::exchange(reported, effective(member));
+    const std::optional<Member> before = std::exchange(reported, currentMember(member));
     if (!before && !reported) {
         return std::nullopt;
     }
--- a/packages/qz_fleet/membership/membertable.h
+++ b/packages/qz_fleet/membership/membertable.h
@@ -1,4 +1,4 @@
-// Everything that this instance knows about the members.
+// The member states that this instance knows.
 #pragma once
 
 #include "qz_core/time/clock.h"
@@ -15,15 +15,16 @@
 
 namespace qz {
 
-/// What became of an update.
+/// The effect of an update on the table.
 enum class MergeResult {
-    Unchanged,        ///< Nothing new.
-    ChangedSyncLater, ///< New, and left to the comparison of views to spread.
-    ChangedGossipNow, ///< New, and to be told to others at once.
+    Unchanged,        ///< The update had no new information.
+    ChangedSyncLater, ///< Changed; anti-entropy sync is enough to spread it.
+    ChangedGossipNow, ///< Changed; to be gossiped at once.
 };
 
-/// Merges the platform's list with the members' own word and the verdicts on them. A
-/// member's own word goes before the list; the list alone never brings a dead one back.
+/// Merges the platform's list with the states that members report themselves and the verdicts on
+/// them. A state that a member reports takes precedence over the list. The list alone never revives
+/// a dead member.
 /// @see Membership, MemberUpdate
 class MemberTable
 {
@@ -33,45 +34,47 @@
     const MemberUpdate &self() const { return self_; }
 
     /// Marks this instance as leaving.
-    void leave();
+    void markSelfLeaving();
 
-    /// Marks this instance as ended. Nothing is refuted afterwards.
-    void end();
+    /// Marks this instance as stopped. It refutes no verdict afterwards.
+    void markSelfStopped();
 
-    /// Merges what another instance says, about itself or a third one. A verdict on this
-    /// instance is refuted by raising its version.
-    MergeResult merge(const MemberUpdate &news, TimePoint now);
+    /// Merges an update that another instance sent about itself or a third one. Refutes a verdict
+    /// on this instance by raising its version.
+    MergeResult merge(const MemberUpdate &update, TimePoint now);
 
-    /// Takes the platform's list. Returns the members that it listed before and no more.
+    /// Applies the platform's list. Returns the members that are no longer listed.
     std::vector<InstanceId> applyListing(const InstanceListing &listing);
 
-    /// Adds a suspicion by @p accuser. True if it is new.
-    bool addSuspicion(const InstanceId &member, const InstanceId &accuser);
+    /// Marks @p member as suspect, reported by @p reporter. Returns true if the reporter is new.
+    bool addSuspicion(const InstanceId &member, const InstanceId &reporter);
 
-    /// Declares @p member dead. True if it was not.
+    /// Declares @p member dead. Returns true if it was not dead before.
     bool declareDead(const InstanceId &member, TimePoint now);
 
-    /// Forgets dead members that are not listed after @p retention.
+    /// Removes unlisted members that have been dead for @p retention or never reported.
     void removeExpired(TimePoint now, Duration retention);
 
-    /// Null if nothing is known of @p member, or if it is this instance.
+    /// Returns null if @p member is unknown or is this instance.
     const MemberUpdate *find(const InstanceId &member) const;
 
-    /// The next @p count members after the last call, for the comparison of views.
+    /// Returns at most @p count self-reported members for anti-entropy sync, in round-robin order
+    /// across calls.
     std::vector<MemberUpdate> nextSyncUpdates(std::size_t count);
 
     std::vector<InstanceId> deadMembers() const;
 
-    /// Where all members but this instance listen for links, the dead ones too.
+    /// Returns where all members but this instance listen for links, including dead ones.
     std::vector<Peer> peers() const;
 
-    /// Equal on two instances that know the same of the same members.
+    /// Returns a digest that is equal for instances that have the same self-reported, not dead
+    /// members in the same states.
     std::uint64_t digest() const { return digest_; }
 
-    /// Changes since the last call.
+    /// Returns the changes since the last call.
     std::vector<MemberChange> takeChanges();
 
-    /// True if the platform lists this instance as leaving.
+    /// Returns true if the platform lists this instance as leaving.
     bool isListedLeaving() const { return isListedLeaving_; }
 
 private:
@@ -79,29 +82,30 @@
     {
         MemberUpdate update_;
         bool isListed_ = false;
-        bool isListedLeaving_ = false;   ///< Only if isListed_.
-        TimePoint deadSince_;            ///< Only meaningful for a dead member.
-        std::uint64_t hash_ = 0;         ///< What it adds to digest_.
-        std::optional<Member> reported_; ///< As takeChanges() last told it; empty if gone.
+        bool isListedLeaving_ = false;   ///< Implies isListed_.
+        TimePoint deadSince_;            ///< Valid only for a dead member.
+        std::uint64_t hash_ = 0;         ///< Its part of digest_; 0 if none.
+        std::optional<Member> reported_; ///< As takeChanges() last returned it; empty if gone.
     };
     using Records = std::map<InstanceId, Record>;
 
-    MergeResult mergeSelf(const MemberUpdate &news);
-    MergeResult mergeUnknown(const MemberUpdate &news);
-    void applyListed(const ListedInstance &listed);
-    void touch(const InstanceId &member);
-    std::optional<Member> effective(const InstanceId &member) const;
-    std::optional<MemberChange> changeOf(const InstanceId &member, std::optional<Member> &reported);
+    MergeResult mergeUpdateAboutSelf(const MemberUpdate &update);
+    MergeResult mergeUnknownMember(const MemberUpdate &update);
+    void applyListedInstance(const ListedInstance &listed);
+    void markChanged(const InstanceId &member);
+    std::optional<Member> currentMember(const InstanceId &member) const;
+    std::optional<MemberChange> detectChange(const InstanceId &member,
+                                             std::optional<Member> &reported);
     static Member toMember(const MemberUpdate &update, bool isListedLeaving);
 
-    MemberUpdate self_; ///< Its version only rises.
+    MemberUpdate self_; ///< Its version never decreases.
     std::optional<Member> reportedSelf_;
     bool isListedLeaving_ = false;
-    Records records_;              ///< Never holds this instance; at most maxMembers.
-    InstanceId turn_;              ///< Where nextSyncUpdates() goes on.
-    std::set<InstanceId> touched_; ///< Since the last takeChanges().
+    Records records_;                     ///< Without this instance; at most maxMembers.
+    InstanceId syncPosition_;             ///< The last member that nextSyncUpdates() visited.
+    std::set<InstanceId> changedMembers_; ///< Since the last takeChanges().
     std::uint64_t selfHash_ = 0;
-    std::uint64_t digest_ = 0; ///< The exclusive or of selfHash_ and all hash_ of records_.
+    std::uint64_t digest_ = 0; ///< The XOR of selfHash_ and the hash_ of all records.
 };
 
 } // namespace qz
--- a/packages/qz_fleet/membership/memberupdate.cpp
+++ b/packages/qz_fleet/membership/memberupdate.cpp
@@ -1,4 +1,4 @@
-// The order of member updates.
+// Validation and merging of member updates.
 #include "qz_fleet/membership/memberupdate.h"
 
 #include <algorithm>
@@ -10,33 +10,33 @@
 
 constexpr std::size_t maxIdBytes = 256;
 
-bool isBounded(const Endpoint &endpoint)
+bool isWithinLimits(const Endpoint &endpoint)
 {
     return endpoint.host_.size() <= maxIdBytes;
 }
 
-bool isBounded(const Location &location)
+bool isWithinLimits(const Location &location)
 {
     return location.region_.value().size() <= maxIdBytes
             && location.failureDomain_.value().size() <= maxIdBytes;
 }
 
-/// Both speak of the same version of the same process.
-bool mergeSameVersion(MemberUpdate &known, const MemberUpdate &news)
+/// Merges an update of the same version of the same process.
+bool mergeSameVersion(MemberUpdate &current, const MemberUpdate &update)
 {
     bool hasChanged = false;
-    if (news.isLeaving_ && !known.isLeaving_) {
-        known.isLeaving_ = true;
+    if (update.isLeaving_ && !current.isLeaving_) {
+        current.isLeaving_ = true;
         hasChanged = true;
     }
-    if (news.verdict_ > known.verdict_) {
-        known.verdict_ = news.verdict_;
-        known.reporters_ = news.reporters_;
+    if (update.verdict_ > current.verdict_) {
+        current.verdict_ = update.verdict_;
+        current.reporters_ = update.reporters_;
         return true;
     }
-    if (news.verdict_ == known.verdict_) {
-        for (const InstanceId &accuser : news.reporters_) {
-            hasChanged = addReporter(known, accuser) || hasChanged;
+    if (update.verdict_ == current.verdict_) {
+        for (const InstanceId &reporter : update.reporters_) {
+            hasChanged = addReporter(current, reporter) || hasChanged;
         }
     }
     return hasChanged;
@@ -67,8 +67,8 @@
     const auto isLong = [](const InstanceId &id) { return id.value().size() > maxIdBytes; };
     return !update.id_.isEmpty() && !isLong(update.id_) && update.incarnation_.size() <= maxIdBytes
             && update.verdict_ <= static_cast<std::uint8_t>(MemberVerdict::Dead)
-            && isBounded(update.peerEndpoint_) && isBounded(update.callerEndpoint_)
-            && isBounded(update.location_) && update.reporters_.size() <= maxReporters
+            && isWithinLimits(update.peerEndpoint_) && isWithinLimits(update.callerEndpoint_)
+            && isWithinLimits(update.location_) && update.reporters_.size() <= maxReporters
             && std::none_of(update.reporters_.begin(), update.reporters_.end(), isLong);
 }
 
@@ -82,28 +82,28 @@
     return std::tie(a.version_, a.incarnation_) == std::tie(b.version_, b.incarnation_);
 }
 
-bool mergeUpdate(MemberUpdate &known, const MemberUpdate &news)
+bool mergeUpdate(MemberUpdate &current, const MemberUpdate &update)
 {
-    if (isSameVersion(known, news)) {
-        return mergeSameVersion(known, news);
+    if (isSameVersion(current, update)) {
+        return mergeSameVersion(current, update);
     }
-    if (!isNewer(news, known)) {
+    if (!isNewer(update, current)) {
         return false;
     }
-    const bool wasLeaving = known.isLeaving_ && known.incarnation_ == news.incarnation_;
-    known = news;
-    known.isLeaving_ = known.isLeaving_ || wasLeaving;
+    const bool wasLeaving = current.isLeaving_ && current.incarnation_ == update.incarnation_;
+    current = update;
+    current.isLeaving_ = current.isLeaving_ || wasLeaving;
     return true;
 }
 
-bool addReporter(MemberUpdate &update, const InstanceId &accuser)
+bool addReporter(MemberUpdate &update, const InstanceId &reporter)
 {
-    const auto &accusers = update.reporters_;
-    const bool isKnown = std::find(accusers.begin(), accusers.end(), accuser) != accusers.end();
-    if (isKnown || accusers.size() >= maxReporters) {
+    const auto &reporters = update.reporters_;
+    const bool isKnown = std::find(reporters.begin(), reporters.end(), reporter) != reporters.end();
+    if (isKnown || reporters.size() >= maxReporters) {
         return false;
     }
-    update.reporters_.push_back(accuser);
+    update.reporters_.push_back(reporter);
     return true;
 }
 
--- a/packages/qz_fleet/membership/memberupdate.h
+++ b/packages/qz_fleet/membership/memberupdate.h
@@ -1,5 +1,5 @@
-// What is known about one member, as it travels between instances, and the order by which
-// newer knowledge replaces older.
+// The state of one member as instances exchange it, and the order in which newer states replace
+// older ones.
 #pragma once
 
 #include "qz_core/ids/ids.h"
@@ -11,26 +11,27 @@
 
 namespace qz {
 
-/// What the fleet holds about a member. Of two verdicts on the same version the higher wins.
+/// The result of failure detection for a member. Of two verdicts on the same version, the higher
+/// one wins.
 enum class MemberVerdict : std::uint8_t { Alive, Suspect, Dead };
 
 std::string_view toString(MemberVerdict verdict);
 
-/// The state of one member at one version. Only the member itself raises the version: to
-/// refute a verdict, or after a restart to go before its former process.
+/// The state of one member at one version. Only the member itself raises the version: to refute
+/// a verdict, or after a restart to take precedence over its previous process.
 /// @see MemberTable
 struct MemberUpdate
 {
     InstanceId id_;
-    std::string incarnation_; ///< The process; empty if known from the platform's list only.
+    std::string incarnation_; ///< The process; empty if only the platform's list is known.
     std::uint64_t version_ = 0;
     std::uint8_t verdict_ = 0; ///< A MemberVerdict.
-    bool isLeaving_ = false;   ///< Never falls back within an incarnation.
+    bool isLeaving_ = false;   ///< Stays true within an incarnation.
     Endpoint peerEndpoint_;
     Endpoint callerEndpoint_;
     Location location_;
-    /// Who could not reach the member at this version. Names the member itself if it has
-    /// ended by its own word.
+    /// The instances that could not reach the member at this version, at most maxReporters.
+    /// Contains only the member itself if it announced its stop.
     std::vector<InstanceId> reporters_;
 
     MSGPACK_DEFINE(id_, incarnation_, version_, verdict_, isLeaving_, peerEndpoint_,
@@ -39,27 +40,30 @@
     MemberVerdict verdict() const { return static_cast<MemberVerdict>(verdict_); }
     void setVerdict(MemberVerdict verdict) { verdict_ = static_cast<std::uint8_t>(verdict); }
     bool isDead() const { return verdict() == MemberVerdict::Dead; }
-    /// True if the member itself has been heard, by whomever.
+    /// Returns true if the state originates from the member itself and not only from the
+    /// platform's list.
     bool isSelfReported() const { return !incarnation_.empty(); }
+    /// Returns true if the member itself announced that it stops.
     bool hasAnnouncedStop() const;
 };
 
 constexpr std::size_t maxReporters = 3;
 
-/// False if a received update has a value out of its range.
+/// Returns false if a value of a received update is out of range.
 bool isValid(const MemberUpdate &update);
 
-/// True if @p a speaks of a later version or process than @p b.
+/// Returns true if @p a describes a later version or process than @p b.
 bool isNewer(const MemberUpdate &a, const MemberUpdate &b);
 
-/// True if @p a and @p b speak of the same version of the same process.
+/// Returns true if @p a and @p b describe the same version of the same process.
 bool isSameVersion(const MemberUpdate &a, const MemberUpdate &b);
 
-/// Adds @p news to @p known. The result does not depend on the order in which updates
-/// come. True if @p known has changed.
-bool mergeUpdate(MemberUpdate &known, const MemberUpdate &news);
+/// Merges @p update into @p current. The result does not depend on the order of updates.
+/// Returns true if @p current has changed.
+bool mergeUpdate(MemberUpdate &current, const MemberUpdate &update);
 
-/// Adds @p accuser if there is room. True if it is new.
-bool addReporter(MemberUpdate &update, const InstanceId &accuser);
+/// Adds @p reporter to @p update unless it is there already or there are maxReporters. Returns
+/// true if it was added.
+bool addReporter(MemberUpdate &update, const InstanceId &reporter);
 
 } // namespace qz
--- a/packages/qz_fleet/membership/monitoringrings.cpp
+++ b/packages/qz_fleet/membership/monitoringrings.cpp
@@ -1,4 +1,4 @@
-// Monitoring rings by rendezvous weights.
+// Orders each monitoring ring by rendezvous hash weights.
 #include "qz_fleet/membership/monitoringrings.h"
 
 #include "qz_core/hashing/rendezvous.h"
@@ -28,7 +28,7 @@
     return ordered;
 }
 
-void removeRepetitions(std::vector<InstanceId> &ids)
+void removeDuplicates(std::vector<InstanceId> &ids)
 {
     std::sort(ids.begin(), ids.end());
     ids.erase(std::unique(ids.begin(), ids.end()), ids.end());
@@ -64,19 +64,19 @@
 {
     std::vector<InstanceId> neighbours;
     for (const Ring &ring : rings_) {
-        const auto place = std::find(ring.begin(), ring.end(), member);
-        if (place == ring.end()) {
+        const auto position = std::find(ring.begin(), ring.end(), member);
+        if (position == ring.end()) {
             return {};
         }
         if (ring.size() <= 2 * rings_.size()) {
             neighbours = ring;
             break;
         }
-        const auto index = static_cast<std::size_t>(place - ring.begin());
+        const auto index = static_cast<std::size_t>(position - ring.begin());
         const std::size_t step = direction == Direction::Successor ? 1 : ring.size() - 1;
         neighbours.push_back(ring[(index + step) % ring.size()]);
     }
-    removeRepetitions(neighbours);
+    removeDuplicates(neighbours);
     neighbours.erase(std::remove(neighbours.begin(), neighbours.end(), member), neighbours.end());
     return neighbours;
 }
--- a/packages/qz_fleet/membership/monitoringrings.h
+++ b/packages/qz_fleet/membership/monitoringrings.h
@@ -1,4 +1,4 @@
-// Who monitors whom: a constant number of neighbours, however large the fleet is.
+// Selects the members that each member monitors: a constant number, whatever the fleet size.
 #pragma once
 
 #include "qz_core/ids/ids.h"
@@ -8,12 +8,12 @@
 
 namespace qz {
 
-/// Orders the members on several rings, each by a hash of its own. A member monitors its
-/// successor on each ring and is monitored by its predecessors. The rings together are
-/// a random graph, on which news reaches everybody in a number of steps that grows with the
-/// logarithm of the fleet. A member that comes or goes changes its neighbours only.
+/// Orders the members on several rings, each by a different hash. A member monitors its successor
+/// on each ring and is monitored by its predecessors. The rings together form a random graph, on
+/// which an update reaches all members in a number of steps that grows with the logarithm of the
+/// fleet size. A member that joins or leaves changes only what its neighbours monitor.
 ///
-/// In a fleet of at most twice as many members as rings, everybody monitors everybody.
+/// If there are at most twice as many members as rings, each member monitors all others.
 /// @see Prober
 class MonitoringRings
 {
@@ -23,10 +23,12 @@
     /// Replaces the members, in any order.
     void setMembers(const std::vector<InstanceId> &members);
 
-    /// Whom @p member monitors, without repetition. Empty if it is no member.
+    /// Returns the members that @p member monitors, without duplicates; empty if @p member is
+    /// unknown.
     std::vector<InstanceId> subjectsOf(const InstanceId &member) const;
 
-    /// Who monitors @p member, without repetition. Empty if it is no member.
+    /// Returns the members that monitor @p member, without duplicates; empty if @p member is
+    /// unknown.
     std::vector<InstanceId> observersOf(const InstanceId &member) const;
 
 private:
@@ -34,7 +36,7 @@
     std::vector<InstanceId> neighboursOf(const InstanceId &member, Direction direction) const;
 
     using Ring = std::vector<InstanceId>;
-    std::vector<Ring> rings_; ///< All hold the same members.
+    std::vector<Ring> rings_; ///< All have the same members.
 };
 
 } // namespace qz
--- a/packages/qz_fleet/membership/prober.cpp
+++ b/packages/qz_fleet/membership/prober.cpp
@@ -1,4 +1,4 @@
-// Rounds of probes.
+// Phases and timeouts of probe rounds.
 #include "qz_fleet/membership/prober.h"
 
 #include <algorithm>
@@ -21,7 +21,7 @@
             continue;
         }
         Round round;
-        round.dueAt_ = now + randomPartOfPeriod();
+        round.dueAt_ = now + randomInitialDelay();
         rounds.emplace(subject, round);
     }
     rounds_ = std::move(rounds);
@@ -97,7 +97,7 @@
 {
     switch (round.phase_) {
     case Phase::Idle:
-        begin(subject, round, now, actions);
+        startRound(subject, round, now, actions);
         return;
     case Phase::Direct:
         round.phase_ = Phase::Indirect;
@@ -112,11 +112,11 @@
     }
     ++round.failures_;
     actions.emplace_back(FailedRound{ subject, round.failures_, round.failingSince_ });
-    begin(subject, round, now, actions);
+    startRound(subject, round, now, actions);
 }
 
-void Prober::begin(const InstanceId &subject, Round &round, TimePoint now,
-                   std::vector<ProbeAction> &actions)
+void Prober::startRound(const InstanceId &subject, Round &round, TimePoint now,
+                        std::vector<ProbeAction> &actions)
 {
     round.phase_ = Phase::Direct;
     round.startedAt_ = now;
@@ -125,7 +125,7 @@
     actions.emplace_back(DirectProbe{ subject, round.sequence_ });
 }
 
-Duration Prober::randomPartOfPeriod()
+Duration Prober::randomInitialDelay()
 {
     std::uniform_int_distribution<Duration::rep> part(0, options_.period_.count());
     return Duration(part(random_));
--- a/packages/qz_fleet/membership/prober.h
+++ b/packages/qz_fleet/membership/prober.h
@@ -1,4 +1,4 @@
-// When to probe which neighbour, and when a round of probes has failed.
+// Schedules probe rounds and decides when a round has failed.
 #pragma once
 
 #include "qz_core/ids/ids.h"
@@ -14,69 +14,71 @@
 
 struct ProberOptions
 {
-    Duration period_ = std::chrono::seconds(1); ///< Between two rounds that succeed.
-    Duration directProbeTimeout_ = std::chrono::milliseconds(300);   ///< Then others are asked.
-    Duration indirectProbeTimeout_ = std::chrono::milliseconds(400); ///< Then the round has failed.
+    Duration period_ = std::chrono::seconds(1); ///< Between the starts of successful rounds.
+    /// Time to wait for a reply to the direct probe before indirect probes.
+    Duration directProbeTimeout_ = std::chrono::milliseconds(300);
+    /// Time to wait for a reply to the indirect probes before the round fails.
+    Duration indirectProbeTimeout_ = std::chrono::milliseconds(400);
 };
 
-/// Send a probe to the subject.
+/// The caller must send a probe to the subject.
 struct DirectProbe
 {
     InstanceId subject_;
     std::uint64_t sequence_ = 0;
 };
 
-/// The subject has not answered: ask others to probe it.
+/// The subject has not replied; the caller must request other members to probe it.
 struct IndirectProbe
 {
     InstanceId subject_;
     std::uint64_t sequence_ = 0;
 };
 
-/// Neither the subject nor one of those asked has answered.
+/// Neither the direct probe nor the indirect ones got a reply in time.
 struct FailedRound
 {
     InstanceId subject_;
-    int failures_ = 0;       ///< Rounds that failed in a row, this one included.
-    TimePoint failingSince_; ///< When the first of them began.
+    int failures_ = 0;       ///< Consecutive failed rounds, including this one.
+    TimePoint failingSince_; ///< When the first of them started.
 };
 
 using ProbeAction = std::variant<DirectProbe, IndirectProbe, FailedRound>;
 
-/// Runs rounds of probes against a few subjects. A round begins with a direct probe, goes
-/// on with indirect ones, and ends with an acknowledgement or as failed; then the next one
-/// begins after the period or, after a failure, at once.
+/// Runs probe rounds for a few subjects. A round starts with a direct probe, continues with
+/// indirect ones if there is no reply, and ends with an acknowledgement or as failed. The next
+/// round starts one period after the start of the last one or, after a failure, at once.
 /// @see Membership, MonitoringRings
 class Prober
 {
 public:
-    /// @p random spreads the rounds over the period and must outlive the prober.
+    /// @p random spreads the first rounds over the period. It must outlive the prober.
     Prober(const ProberOptions &options, std::mt19937_64 &random);
 
-    /// Replaces the subjects; rounds of those that stay go on.
+    /// Replaces the subjects. Rounds of subjects that remain continue.
     void setSubjects(const std::vector<InstanceId> &subjects, TimePoint now);
 
-    /// What is due at @p now.
+    /// Returns the actions that are due at @p now.
     std::vector<ProbeAction> tick(TimePoint now);
 
-    /// @p subject has answered the probe with @p sequence: if its round is still running,
-    /// it ends with success.
+    /// Ends the round of @p subject with success if it is still active and has @p sequence.
     void acknowledge(std::uint64_t sequence, const InstanceId &subject, TimePoint now);
 
-    /// The direct probe could not be sent: others are asked with the next tick.
+    /// To be called if the direct probe could not be sent. The round continues with indirect probes
+    /// at the next tick.
     void skipDirectProbe(const InstanceId &subject, TimePoint now);
 
-    /// Begins a round with each idle subject at the next tick.
+    /// Starts a round for each idle subject at the next tick.
     void probeSoon(TimePoint now);
 
-    /// Starts over after a pause of the process: what was not answered meanwhile is not
-    /// held against anybody.
+    /// Starts all rounds anew after a pause of the process, and discards failures. Replies that are
+    /// missing because of the pause must not count as failures.
     void reset(TimePoint now);
 
     bool isFailing(const InstanceId &subject) const;
     std::vector<InstanceId> subjects() const;
 
-    /// A sequence number that no round has used.
+    /// Returns a new sequence number.
     std::uint64_t nextSequence() { return ++lastSequence_; }
 
 private:
@@ -89,14 +91,14 @@
         TimePoint startedAt_;
         std::uint64_t sequence_ = 0;
         int failures_ = 0;
-        TimePoint failingSince_; ///< Only meaningful if failures_ is not 0.
+        TimePoint failingSince_; ///< Valid only if failures_ is not 0.
     };
 
     void advance(const InstanceId &subject, Round &round, TimePoint now,
                  std::vector<ProbeAction> &actions);
-    void begin(const InstanceId &subject, Round &round, TimePoint now,
-               std::vector<ProbeAction> &actions);
-    Duration randomPartOfPeriod();
+    void startRound(const InstanceId &subject, Round &round, TimePoint now,
+                    std::vector<ProbeAction> &actions);
+    Duration randomInitialDelay();
 
     ProberOptions options_;
     std::mt19937_64 &random_;
--- a/packages/qz_fleet/tests/membershipdrivertest.cpp
+++ b/packages/qz_fleet/tests/membershipdrivertest.cpp
@@ -1,4 +1,4 @@
-// Tests of membership over real links, with a list that a test switches off.
+// Tests of MembershipDriver over real links, with a list of instances that can be unavailable.
 #include "linknode.h"
 
 #include "qz_fleet/membership/membershipdriver.h"
@@ -18,15 +18,15 @@
 public:
     void fetch(Done done) override
     {
-        if (isDown_) {
-            done(qz::failure(qz::ErrorKind::StoreUnavailable, "down"));
+        if (isUnavailable_) {
+            done(qz::failure(qz::ErrorKind::StoreUnavailable, "list is unavailable"));
             return;
         }
         done(listing_);
     }
 
     qz::InstanceListing listing_;
-    bool isDown_ = false;
+    bool isUnavailable_ = false;
 };
 
 struct DrivenNode
@@ -46,7 +46,7 @@
         driver_ = std::make_unique<qz::MembershipDriver>(
                 qz::MembershipDriver::Parts{ *membership_, *links_.links_, list, loop, loop });
         driver_->setChangeListener([this](const qz::MemberChange &change) {
-            gone_ += change.kind_ == MemberChangeKind::Gone ? 1 : 0;
+            goneCount_ += change.kind_ == MemberChangeKind::Gone ? 1 : 0;
         });
         links_.links_->setLinkLostHandler(
                 [this](const qz::InstanceId &) { driver_->handleLinkLost(); });
@@ -70,12 +70,12 @@
     qz::LinkNode links_;
     std::unique_ptr<qz::Membership> membership_;
     std::unique_ptr<qz::MembershipDriver> driver_;
-    int gone_ = 0;
+    int goneCount_ = 0;
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(threeInstancesFollowEachOtherWhileTheListIsDown)
+BOOST_AUTO_TEST_CASE(threeInstancesTrackEachOtherWhileTheListIsUnavailable)
 {
     qz::EventLoop loop;
     FakeInstanceList list;
@@ -87,16 +87,16 @@
     }
     const auto see = [&](MemberState state) { return a.sees("c", state) && b.sees("c", state); };
     BOOST_TEST(qz::runUntil(loop, [&] { return see(MemberState::Live); }));
-    list.isDown_ = true;
+    list.isUnavailable_ = true;
     c->driver_->startLeaving();
     BOOST_TEST(qz::runUntil(loop, [&] { return see(MemberState::Leaving); }));
     c->driver_->stop();
-    BOOST_TEST(qz::runUntil(loop, [&] { return a.gone_ == 1 && b.gone_ == 1; }));
+    BOOST_TEST(qz::runUntil(loop, [&] { return a.goneCount_ == 1 && b.goneCount_ == 1; }));
     BOOST_TEST(a.membership_->members().size() == 2U);
     BOOST_TEST(a.membership_->dumpState(loop.now())["cut_off"] == false);
 }
 
-BOOST_AUTO_TEST_CASE(aKilledInstanceIsFoundOverLinksAndOneThatStaysIsNot)
+BOOST_AUTO_TEST_CASE(aKilledInstanceIsDetectedAndLiveOnesRemain)
 {
     qz::EventLoop loop;
     FakeInstanceList list;
@@ -108,7 +108,7 @@
     }
     BOOST_TEST(qz::runUntil(loop, [&] { return a.sees("c", MemberState::Live); }));
     c.reset();
-    BOOST_TEST(qz::runUntil(loop, [&] { return a.gone_ == 1 && b.gone_ == 1; }));
+    BOOST_TEST(qz::runUntil(loop, [&] { return a.goneCount_ == 1 && b.goneCount_ == 1; }));
     BOOST_TEST(a.sees("b", MemberState::Live));
     BOOST_TEST(b.sees("a", MemberState::Live));
 }
--- a/packages/qz_fleet/tests/membershipsimulation.h
+++ b/packages/qz_fleet/tests/membershipsimulation.h
@@ -1,5 +1,5 @@
-// Many memberships in one test: a clock that the test advances and a network with delays,
-// losses and cuts.
+// Simulates many memberships with a manual clock and a network that delays, loses and blocks
+// messages.
 #pragma once
 
 #include "qz_core/time/manualclock.h"
@@ -17,17 +17,18 @@
 
 namespace qz {
 
-/// Runs a fleet of memberships. Everything follows from the seed.
+/// Runs a simulated fleet of memberships. The seed determines its whole behaviour.
 class MembershipSimulation
 {
 public:
+    /// Returns true if messages from one node to the other are dropped.
     using LinkBlocker = std::function<bool(std::size_t from, std::size_t to)>;
 
     struct Node
     {
         InstanceId id_;
         std::mt19937_64 random_;
-        std::unique_ptr<Membership> membership_; ///< Null while killed.
+        std::unique_ptr<Membership> membership_; ///< Null after killNode().
         bool isPaused_ = false;
         std::vector<MemberChange> changes_;
         std::uint64_t messagesSent_ = 0;
@@ -41,7 +42,7 @@
             addNode();
         }
         for (std::size_t i = 0; i < count; ++i) {
-            start(i, "first");
+            startNode(i, "first");
             deliverListing(i, listing());
         }
     }
@@ -52,12 +53,12 @@
         auto node = std::make_unique<Node>();
         node->id_ = InstanceId("instance-" + std::to_string(index));
         node->random_.seed(random_());
-        indexes_[node->id_] = index;
+        nodeIndexes_[node->id_] = index;
         nodes_.push_back(std::move(node));
         return index;
     }
 
-    void start(std::size_t index, const std::string &process)
+    void startNode(std::size_t index, const std::string &process)
     {
         Node &target = node(index);
         const ListedInstance listed = listedInstance(index);
@@ -74,53 +75,54 @@
                                      .build();
     }
 
-    /// What a node sends, on average, in a second.
+    /// The average traffic that a node sends per second.
     struct Cost
     {
         double messages_ = 0;
         double bytes_ = 0;
     };
 
-    Cost measure(Duration time)
+    Cost measureCost(Duration time)
     {
-        const auto [messagesBefore, bytesBefore] = sentByAll();
+        const auto [messagesBefore, bytesBefore] = totalSent();
         run(time);
-        const auto [messages, bytes] = sentByAll();
+        const auto [messages, bytes] = totalSent();
         const double nodeSeconds =
                 std::chrono::duration<double>(time).count() * static_cast<double>(nodes_.size());
         return Cost{ static_cast<double>(messages - messagesBefore) / nodeSeconds,
                      static_cast<double>(bytes - bytesBefore) / nodeSeconds };
     }
 
-    /// Lets each node know every other one's own word, as after a long time together.
+    /// Delivers the last state that each node reported to all nodes, as after a long run.
     void exchangeSelfUpdates()
     {
         GossipMessage message;
         message.setKind(GossipKind::Ack);
         for (std::size_t from = 0; from < nodes_.size(); ++from) {
-            message.sender_ = words_.at(node(from).id_);
+            message.sender_ = lastSelfUpdates_.at(node(from).id_);
             for (std::size_t to = 0; to < nodes_.size(); ++to) {
                 node(to).membership_->receive(node(from).id_, message, now());
             }
         }
     }
 
-    void kill(std::size_t index) { node(index).membership_.reset(); }
+    void killNode(std::size_t index) { node(index).membership_.reset(); }
 
     void deliverListing(std::size_t index, const InstanceListing &listing)
     {
         node(index).membership_->applyListing(listing, now());
-        collect(index);
+        collectChanges(index);
     }
 
     void send(std::size_t from, const Membership::Outgoing &outgoing)
     {
         for (const OutgoingGossip &gossip : outgoing) {
-            sendOne(from, gossip);
+            sendMessage(from, gossip);
         }
     }
 
-    /// Lets time pass in steps of 10 ms; each node ticks every 100 ms.
+    /// Advances the clock in steps of 10 ms, until @p time has passed or @p isDone returns true.
+    /// Each node ticks every 100 ms.
     void run(
             Duration time, const std::function<bool()> &isDone = [] { return false; })
     {
@@ -128,17 +130,17 @@
         while (now() < end && !isDone()) {
             clock_.advance(step);
             ++steps_;
-            deliverDue();
+            deliverDuePackets();
             for (std::size_t i = 0; i < nodes_.size(); ++i) {
                 if (isRunning(i) && (steps_ + i) % stepsPerTick == 0) {
                     send(i, node(i).membership_->tick(now()));
-                    collect(i);
+                    collectChanges(i);
                 }
             }
         }
     }
 
-    /// All nodes up to @p count as listed live.
+    /// Returns a listing of all nodes as live.
     InstanceListing listing() const
     {
         InstanceListing listing;
@@ -148,27 +150,28 @@
         return listing;
     }
 
-    /// How many running nodes other than @p about have it in the state that @p holds asks for.
+    /// Returns how many running nodes other than @p subject see it in a state that matches
+    /// @p predicate.
     template<typename Predicate>
-    std::size_t countMatching(std::size_t about, Predicate holds) const
+    std::size_t countMatching(std::size_t subject, Predicate predicate) const
     {
         std::size_t count = 0;
         for (std::size_t i = 0; i < nodes_.size(); ++i) {
-            if (i != about && isRunning(i) && holds(view(i, about))) {
+            if (i != subject && isRunning(i) && predicate(memberSeenBy(i, subject))) {
                 ++count;
             }
         }
         return count;
     }
 
-    /// @p about as node @p index sees it; null if gone.
-    const Member *view(std::size_t index, std::size_t about) const
+    /// Returns @p subject as node @p index sees it; null if gone.
+    const Member *memberSeenBy(std::size_t index, std::size_t subject) const
     {
         const auto &members = nodes_[index]->membership_->members();
         const auto found = std::lower_bound(
-                members.begin(), members.end(), nodes_[about]->id_,
+                members.begin(), members.end(), nodes_[subject]->id_,
                 [](const Member &member, const InstanceId &id) { return member.id_ < id; });
-        return found != members.end() && found->id_ == nodes_[about]->id_ ? &*found : nullptr;
+        return found != members.end() && found->id_ == nodes_[subject]->id_ ? &*found : nullptr;
     }
 
     std::size_t countChanges(MemberChangeKind kind) const
@@ -192,8 +195,8 @@
     Node &node(std::size_t index) { return *nodes_.at(index); }
     std::size_t size() const { return nodes_.size(); }
     TimePoint now() const { return clock_.now(); }
-    void setLossRate(double loss) { loss_ = loss; }
-    void setLinkBlocker(LinkBlocker cut) { cut_ = std::move(cut); }
+    void setLossRate(double rate) { lossRate_ = rate; }
+    void setLinkBlocker(LinkBlocker blocker) { linkBlocker_ = std::move(blocker); }
 
 private:
     static constexpr Duration step = std::chrono::milliseconds(10);
@@ -224,7 +227,7 @@
         return listed;
     }
 
-    std::pair<std::uint64_t, std::uint64_t> sentByAll() const
+    std::pair<std::uint64_t, std::uint64_t> totalSent() const
     {
         std::pair<std::uint64_t, std::uint64_t> sum;
         for (const auto &node : nodes_) {
@@ -234,15 +237,16 @@
         return sum;
     }
 
-    void sendOne(std::size_t from, const OutgoingGossip &gossip)
+    void sendMessage(std::size_t from, const OutgoingGossip &gossip)
     {
-        words_[node(from).id_] = gossip.message_.sender_;
+        lastSelfUpdates_[node(from).id_] = gossip.message_.sender_;
         const std::string payload = packMessage(gossip.message_);
         ++node(from).messagesSent_;
         node(from).bytesSent_ += encodeFrame(MessageKind::MembershipGossip, payload).size();
-        const auto to = indexes_.find(gossip.to_);
-        const bool isLost = std::bernoulli_distribution(loss_)(random_);
-        if (to == indexes_.end() || isLost || (cut_ && cut_(from, to->second))) {
+        const auto to = nodeIndexes_.find(gossip.to_);
+        const bool isLost = std::bernoulli_distribution(lossRate_)(random_);
+        if (to == nodeIndexes_.end() || isLost
+            || (linkBlocker_ && linkBlocker_(from, to->second))) {
             return;
         }
         std::uniform_int_distribution<int> delay(1, 15);
@@ -250,7 +254,7 @@
         packets_.emplace(arrival, Packet{ from, to->second, gossip.message_ });
     }
 
-    void deliverDue()
+    void deliverDuePackets()
     {
         while (!packets_.empty() && packets_.begin()->first <= now()) {
             const Packet packet = std::move(packets_.begin()->second);
@@ -258,12 +262,12 @@
             if (isRunning(packet.to_)) {
                 Membership &target = *node(packet.to_).membership_;
                 send(packet.to_, target.receive(node(packet.from_).id_, packet.message_, now()));
-                collect(packet.to_);
+                collectChanges(packet.to_);
             }
         }
     }
 
-    void collect(std::size_t index)
+    void collectChanges(std::size_t index)
     {
         for (MemberChange &change : node(index).membership_->takeChanges()) {
             node(index).changes_.push_back(std::move(change));
@@ -273,11 +277,12 @@
     ManualClock clock_;
     std::mt19937_64 random_;
     std::vector<std::unique_ptr<Node>> nodes_;
-    std::map<InstanceId, std::size_t> indexes_;
-    std::map<InstanceId, MemberUpdate> words_; ///< What each node last said of itself.
+    std::map<InstanceId, std::size_t> nodeIndexes_;
+    std::map<InstanceId, MemberUpdate>
+            lastSelfUpdates_; ///< The last state that each node reported.
     std::multimap<TimePoint, Packet> packets_;
-    double loss_ = 0;
-    LinkBlocker cut_;
+    double lossRate_ = 0;
+    LinkBlocker linkBlocker_;
     std::size_t steps_ = 0;
 };
 
--- a/packages/qz_fleet/tests/memberupdatetest.cpp
+++ b/packages/qz_fleet/tests/memberupdatetest.cpp
@@ -1,4 +1,4 @@
-// Tests of the order of member updates and of the monitoring rings.
+// Tests of merging member updates and of MonitoringRings.
 #include "qz_fleet/membership/memberupdate.h"
 #include "qz_fleet/membership/monitoringrings.h"
 
@@ -29,7 +29,7 @@
     return update;
 }
 
-auto essence(const MemberUpdate &update)
+auto mergedState(const MemberUpdate &update)
 {
     return std::make_tuple(update.incarnation_, update.version_, update.verdict_);
 }
@@ -46,7 +46,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(updatesMergeToTheSameInAnyOrder)
+BOOST_AUTO_TEST_CASE(theMergeResultDoesNotDependOnTheOrderOfUpdates)
 {
     std::mt19937_64 random(5);
     for (int round = 0; round < 2000; ++round) {
@@ -64,25 +64,25 @@
         for (const MemberUpdate &update : updates) {
             qz::mergeUpdate(shuffled, update);
         }
-        BOOST_REQUIRE((essence(forward) == essence(shuffled)));
-        BOOST_REQUIRE(!qz::mergeUpdate(shuffled, updates.front())); // It is known by now.
+        BOOST_REQUIRE((mergedState(forward) == mergedState(shuffled)));
+        BOOST_REQUIRE(!qz::mergeUpdate(shuffled, updates.front())); // Already merged.
     }
 }
 
-BOOST_AUTO_TEST_CASE(aMemberThatIsLeavingStaysSoUntilItIsRestarted)
+BOOST_AUTO_TEST_CASE(aLeavingMemberRemainsLeavingUntilItRestarts)
 {
-    MemberUpdate known;
-    known.incarnation_ = "first";
-    known.isLeaving_ = true;
-    MemberUpdate news = known;
-    news.isLeaving_ = false;
-    news.version_ = 1;
-    BOOST_TEST(qz::mergeUpdate(known, news));
-    BOOST_TEST(known.isLeaving_);
-    news.incarnation_ = "second";
-    news.version_ = 2;
-    BOOST_TEST(qz::mergeUpdate(known, news));
-    BOOST_TEST(!known.isLeaving_);
+    MemberUpdate current;
+    current.incarnation_ = "first";
+    current.isLeaving_ = true;
+    MemberUpdate update = current;
+    update.isLeaving_ = false;
+    update.version_ = 1;
+    BOOST_TEST(qz::mergeUpdate(current, update));
+    BOOST_TEST(current.isLeaving_);
+    update.incarnation_ = "second";
+    update.version_ = 2;
+    BOOST_TEST(qz::mergeUpdate(current, update));
+    BOOST_TEST(!current.isLeaving_);
 }
 
 BOOST_AUTO_TEST_CASE(eachMemberHasAConstantNumberOfNeighbours)
@@ -106,7 +106,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aSmallFleetIsMonitoredByAll)
+BOOST_AUTO_TEST_CASE(eachMemberMonitorsAllOthersInASmallFleet)
 {
     qz::MonitoringRings rings(4);
     const auto members = makeMembers(8);
