--- a/packages/qz_once/batching/claimbatcher.cpp
+++ b/packages/qz_once/batching/claimbatcher.cpp
@@ -1,4 +1,4 @@
-// Grouping of claim writes into transactions.
+// Groups writes of claim rows into transactions.
 #include "qz_once/batching/claimbatcher.h"
 
 #include <algorithm>
@@ -22,13 +22,14 @@
 void ClaimBatcher::write(TableWrite write, RowWriteDone done)
 {
     if (queue_.size() >= limits_.maxQueuedWrites_) {
-        done(failure(ErrorKind::StoreUnavailable, "too many claims wait for the table"));
+        done(failure(ErrorKind::StoreUnavailable,
+                     "too many writes of claims are waiting for the table"));
         return;
     }
     ++writeCount_;
     queue_.push_back(Entry{ std::move(write), std::move(done) });
     if (queue_.size() == limits_.maxBatchSize_) {
-        timer_.reset(); // No need to wait for more.
+        timer_.reset(); // The batch is full; commit without further delay.
     }
     schedule();
 }
@@ -38,93 +39,95 @@
     if (timer_ || queue_.empty() || inFlight_ >= limits_.maxCommitsInFlight_) {
         return;
     }
-    timer_ = timers_.callAfter(delayBeforeCommit(), [this] {
+    timer_ = timers_.callAfter(commitDelay(), [this] {
         timer_.reset();
-        commitGroup();
+        commitBatch();
         schedule();
     });
 }
 
-Duration ClaimBatcher::delayBeforeCommit() const
+Duration ClaimBatcher::commitDelay() const
 {
     const Duration untilAllowed = nextCommitAt_ - clock_.now();
     const bool isFull = queue_.size() >= limits_.maxBatchSize_;
     return std::max(untilAllowed, isFull ? Duration::zero() : limits_.maxBatchDelay_);
 }
 
-void ClaimBatcher::commitGroup()
+void ClaimBatcher::commitBatch()
 {
-    auto group = std::make_shared<Group>(takeGroup());
+    auto batch = std::make_shared<Batch>(takeBatch());
     std::vector<TableWrite> writes;
-    writes.reserve(group->size());
-    for (const Entry &entry : *group) {
+    writes.reserve(batch->size());
+    for (const Entry &entry : *batch) {
         writes.push_back(entry.write_);
     }
     ++inFlight_;
     ++commitCount_;
     nextCommitAt_ = clock_.now() + limits_.minCommitInterval_;
     table_.commit(std::move(writes),
-                  [this, group, alive = std::weak_ptr<bool>(isAlive_)](const auto &result) {
+                  [this, batch, alive = std::weak_ptr<bool>(isAlive_)](const auto &result) {
                       if (!alive.expired()) {
-                          onCommitted(std::move(*group), result);
+                          onCommitted(std::move(*batch), result);
                       }
                   });
 }
 
-ClaimBatcher::Group ClaimBatcher::takeGroup()
+ClaimBatcher::Batch ClaimBatcher::takeBatch()
 {
-    Group group;
+    Batch batch;
     std::deque<Entry> later;
     std::set<std::string> keys;
-    while (!queue_.empty() && group.size() < limits_.maxBatchSize_) {
+    while (!queue_.empty() && batch.size() < limits_.maxBatchSize_) {
         Entry entry = std::move(queue_.front());
         queue_.pop_front();
         if (keys.insert(entry.write_.key_).second) {
-            group.push_back(std::move(entry));
+            batch.push_back(std::move(entry));
         } else {
             later.push_back(std::move(entry));
         }
     }
     std::move(later.rbegin(), later.rend(), std::front_inserter(queue_));
-    return group;
+    return batch;
 }
 
-void ClaimBatcher::onCommitted(Group group, const Result<CommitDecision> &result)
+void ClaimBatcher::onCommitted(Batch batch, const Result<CommitDecision> &result)
 {
     --inFlight_;
     if (!result.has_value()) {
-        finish(group, result.error());
+        finish(batch, result.error());
     } else if (result.value().isApplied()) {
-        finish(group, RowWriteOutcome::Applied);
+        finish(batch, RowWriteOutcome::Applied);
     } else {
-        splitConflicts(std::move(group), result.value().conflicts_);
+        separateConflicts(std::move(batch), result.value().conflicts_);
     }
     schedule();
 }
 
-void ClaimBatcher::finish(Group &group, const Result<RowWriteOutcome> &outcome)
+void ClaimBatcher::finish(Batch &batch, const Result<RowWriteOutcome> &outcome)
 {
-    for (Entry &entry : group) {
+    for (Entry &entry : batch) {
         entry.done_(outcome);
     }
 }
 
-void ClaimBatcher::splitConflicts(Group group, const std::vector<std::string> &conflicts)
+void ClaimBatcher::separateConflicts(Batch batch, const std::vector<std::string> &conflicts)
 {
     const std::set<std::string> keys(conflicts.begin(), conflicts.end());
-    const auto firstRefused =
-            std::stable_partition(group.begin(), group.end(), [&keys](const Entry &entry) {
+    const auto firstConflict =
+            std::stable_partition(batch.begin(), batch.end(), [&keys](const Entry &entry) {
                 return keys.count(entry.write_.key_) == 0;
             });
-    Group refused(std::make_move_iterator(firstRefused), std::make_move_iterator(group.end()));
-    group.erase(firstRefused, group.end());
-    if (refused.empty()) {
-        finish(group, failure(ErrorKind::MalformedReply, "conflicts on rows not written"));
+    Batch conflicting(std::make_move_iterator(firstConflict), std::make_move_iterator(batch.end()));
+    batch.erase(firstConflict, batch.end());
+    if (conflicting.empty()) {
+        finish(batch,
+               failure(ErrorKind::MalformedReply,
+                       "the table reported conflicts only for rows that were not written"));
         return;
     }
-    // Nothing of the group was applied, so the rest may be committed again.
-    std::move(group.rbegin(), group.rend(), std::front_inserter(queue_));
-    finish(refused, RowWriteOutcome::Conflict);
+    // The table applied no write of the batch, so the other writes can be committed again.
+    std::move(batch.rbegin(), batch.rend(), std::front_inserter(queue_));
+    finish(conflicting, RowWriteOutcome::Conflict);
 }
 
 } // namespace qz
--- a/packages/qz_once/batching/rowwrite.h
+++ b/packages/qz_once/batching/rowwrite.h
@@ -1,4 +1,4 @@
-// One conditional write of a claim row, whatever way it takes to the table.
+// A conditional write of a claim row, directly to the table or through a ClaimBatcher.
 #pragma once
 
 #include "qz_platform/table/table.h"
@@ -7,17 +7,17 @@
 
 namespace qz {
 
-/// What the table decided about one row.
+/// The table's decision on a write.
 enum class RowWriteOutcome {
     Applied,
-    Conflict, ///< The condition did not hold; the row is as it was.
+    Conflict, ///< The condition did not hold; the row is unchanged.
 };
 
-/// Errors as for Table::commit(): after StoreUnavailable the write certainly has no effect,
-/// after any other error it may take effect, now or later.
+/// Receives the decision, or an error as of Table::commit(): after StoreUnavailable the write has
+/// no effect; after any other error it may take effect, now or later.
 using RowWriteDone = std::function<void(Result<RowWriteOutcome>)>;
 
-/// Ends exactly once, maybe before it returns.
+/// Writes one row and calls the RowWriteDone exactly once, possibly before it returns.
 using RowWriter = std::function<void(TableWrite, RowWriteDone)>;
 
 } // namespace qz
--- a/packages/qz_once/claims/claimattempt.cpp
+++ b/packages/qz_once/claims/claimattempt.cpp
@@ -1,4 +1,4 @@
-// The steps of one claim.
+// The writes and reads of one claim.
 #include "qz_once/claims/claimattempt.h"
 
 #include <cassert>
@@ -29,19 +29,19 @@
 
 void ClaimAttempt::start()
 {
-    startedAt_ = context_.clock_.now();
+    startTime_ = context_.clock_.now();
     writeRow(0);
 }
 
 void ClaimAttempt::writeRow(RowVersion expectedVersion)
 {
-    const bool isLate = context_.clock_.now() - startedAt_ >= context_.limits_.retryTimeLimit_;
-    if (isLate || maxWrites_ >= context_.limits_.maxWrites_) {
+    const bool isLate = context_.clock_.now() - startTime_ >= context_.limits_.retryTimeLimit_;
+    if (isLate || writeCount_ >= context_.limits_.maxWrites_) {
         fail(mayBeWritten_ ? ErrorKind::ClaimUndecided : ErrorKind::ClaimStoreUnavailable,
-             "the table did not take the claim in time");
+             "could not write the claim to the table in time");
         return;
     }
-    ++maxWrites_;
+    ++writeCount_;
     context_.write_(TableWrite{ rowKey_, expectedVersion, toJson(row_) },
                     [self = shared_from_this()](const auto &outcome) { self->onWritten(outcome); });
 }
@@ -54,11 +54,12 @@
             grant(0);
             return;
         }
-        readBack(); // Somebody else's row, or our own from a try whose answer was lost.
+        // The row belongs to another claim, or to a write of this one whose response was lost.
+        readBack();
         return;
     }
-    const bool wasRefused = outcome.error().kind_ == ErrorKind::StoreUnavailable;
-    if (wasRefused && !mayBeWritten_) {
+    const bool wasNotWritten = outcome.error().kind_ == ErrorKind::StoreUnavailable;
+    if (wasNotWritten && !mayBeWritten_) {
         fail(ErrorKind::ClaimStoreUnavailable, outcome.error().message_);
         return;
     }
@@ -76,15 +77,18 @@
 {
     if (!result.has_value()) {
         if (mayBeWritten_) {
-            fail(ErrorKind::ClaimUndecided, "the answer was lost: " + result.error().message_);
+            fail(ErrorKind::ClaimUndecided,
+                 "the table's response was lost: " + result.error().message_);
         } else {
-            refuse("the key is claimed; its row cannot be read: " + result.error().message_);
+            failAlreadyClaimed("the key is claimed, but its row could not be read: "
+                               + result.error().message_);
         }
         return;
     }
     if (!result.value().has_value()) {
-        // Absent, but an earlier write may still take effect. The same token is written again:
-        // whichever write wins, the row names this attempt, which grants once.
+        // The row is absent, but an earlier write may still take effect. Writing the same token
+        // again is safe: whichever write is applied, the row holds the token of this attempt,
+        // which grants the claim only once.
         writeRow(0);
         return;
     }
@@ -95,19 +99,19 @@
 {
     const Result<ClaimRow> found = parseClaimRow(row.value_);
     if (!found.has_value()) {
-        refuse(found.error().message_);
+        failAlreadyClaimed(found.error().message_);
     } else if (found.value().token_ == row_.token_) {
         grant(row.version_);
     } else if (found.value().state_ == ClaimState::Released) {
         writeRow(row.version_);
     } else {
-        refuse(describe(found.value()));
+        failAlreadyClaimed(describe(found.value()));
     }
 }
 
 void ClaimAttempt::grant(RowVersion version)
 {
-    const TimePoint sendBefore = startedAt_ + context_.limits_.sendWindow_;
+    const TimePoint sendBefore = startTime_ + context_.limits_.sendWindow_;
     if (context_.clock_.now() >= sendBefore) {
         mayBeWritten_ = true;
         fail(ErrorKind::ClaimUndecided, "the claim took longer than its send window");
@@ -118,9 +122,9 @@
             End{ ClaimGrant{ workspace_, key_, row_.token_, sendBefore, version }, false });
 }
 
-void ClaimAttempt::refuse(const std::string &why)
+void ClaimAttempt::failAlreadyClaimed(const std::string &message)
 {
-    fail(ErrorKind::AlreadyClaimed, why);
+    fail(ErrorKind::AlreadyClaimed, message);
 }
 
 void ClaimAttempt::fail(ErrorKind kind, const std::string &message)
--- a/packages/qz_once/claims/claimattempt.h
+++ b/packages/qz_once/claims/claimattempt.h
@@ -1,4 +1,4 @@
-// One call of ClaimClient::claim(), from the first write to its end.
+// One call of ClaimClient::claim(), from the first write to its result.
 #pragma once
 
 #include "qz_core/time/clock.h"
@@ -10,20 +10,22 @@
 
 namespace qz {
 
-/// Writes the row of a key under a fresh token and settles each lost answer by reading back.
+/// Writes the row of a key with a new token. If the response to a write is lost, reads the row
+/// to find out whether the write took effect.
 ///
 /// Invariants:
-/// - A grant is made at most once, and only after the table said that the row holds this
-///   token, either by applying the write or when it was read.
-/// - While a write is undecided nobody may send under its token: neither this attempt, which
-///   knows no better, nor another, which compares tokens. A write that takes effect late
-///   therefore never lets anything run; at worst it blocks the key.
-/// - mayBeWritten_ never falls. "Not run and no row" is only said while it is false.
+/// - A claim is granted at most once, and only after the table has confirmed that the row holds
+///   this token: it applied the write, or the row that was read contains the token.
+/// - While the effect of a write is unknown, no request is sent under its token. This attempt
+///   does not know that it holds the key, and any other attempt compares tokens. A write that
+///   takes effect late therefore never lets a request run; at worst it blocks the key.
+/// - Once set, mayBeWritten_ stays set. Only while it is false does the attempt report that no
+///   row was written and none will be.
 /// @see ClaimClient
 class ClaimAttempt : public std::enable_shared_from_this<ClaimAttempt>
 {
 public:
-    /// What an attempt needs of its surroundings; all of it outlives the attempt.
+    /// The objects and limits that an attempt uses. The referenced objects outlive the attempt.
     struct Context
     {
         Table &table_;
@@ -32,15 +34,15 @@
         ClaimLimits limits_;
     };
 
-    /// How an attempt ended.
+    /// The result of an attempt.
     struct End
     {
         Result<ClaimGrant> result_;
-        bool mayLeaveRow_ = false; ///< No grant, but the row may hold the token, now or later.
+        bool mayLeaveRow_ = false; ///< Not granted, but the row may hold the token, now or later.
     };
     using EndHandler = std::function<void(End)>;
 
-    /// @p row is the content to be written, with the fresh token.
+    /// @p row is the content to write; it contains the new token.
     ClaimAttempt(Context context, WorkspaceId workspace, IdempotencyKey key, ClaimRow row,
                  EndHandler done);
 
@@ -53,7 +55,7 @@
     void onRead(const Result<std::optional<TableRow>> &result);
     void onRowRead(const TableRow &row);
     void grant(RowVersion version);
-    void refuse(const std::string &why);
+    void failAlreadyClaimed(const std::string &message);
     void fail(ErrorKind kind, const std::string &message);
 
     const Context context_;
@@ -61,9 +63,9 @@
     const IdempotencyKey key_;
     const std::string rowKey_;
     const ClaimRow row_;
-    EndHandler done_; ///< Empty once the attempt has ended.
-    TimePoint startedAt_{};
-    int maxWrites_ = 0;
+    EndHandler done_; ///< Empty after the attempt has ended.
+    TimePoint startTime_{};
+    int writeCount_ = 0;
     bool mayBeWritten_ = false;
 };
 
--- a/packages/qz_once/claims/claimclient.cpp
+++ b/packages/qz_once/claims/claimclient.cpp
@@ -1,4 +1,4 @@
-// Claiming, settling and keeping of rows.
+// Claims, results, and scheduled releases and erasures of rows.
 #include "qz_once/claims/claimclient.h"
 
 #include "qz_core/ids/randomid.h"
@@ -14,8 +14,9 @@
 
 constexpr Duration tickPeriod = std::chrono::seconds(1);
 
-/// When to look for a row whose write was undecided, after its claim was given up.
-constexpr std::array<Duration, 2> deadRowLooks{ std::chrono::seconds(5), std::chrono::minutes(1) };
+/// Delays after an undecided claim at which its row is released if it has appeared by then.
+constexpr std::array<Duration, 2> undecidedReleaseDelays{ std::chrono::seconds(5),
+                                                          std::chrono::minutes(1) };
 
 } // namespace
 
@@ -83,21 +84,21 @@
                                RowWriteDone
                                        done) { batcher->write(std::move(write), std::move(done)); })
     , updater_(table_, write_, limits_.maxUpdatesInFlight_, limits_.maxQueuedUpdates_)
-    , pendingErasures_(limits_.pendingErasures_)
-    , deadRows_(limits_.maxQueuedUpdates_)
+    , pendingErasures_(limits_.maxPendingErasures_)
+    , pendingReleases_(limits_.maxQueuedUpdates_)
     , tick_(builder.timers_->callEvery(tickPeriod, [this] { onTick(); }))
 {
     updater_.resetQuota(limits_.updatesPerSecond_);
 }
 
-void ClaimClient::claim(const WorkspaceId &workspace, const IdempotencyKey &key, Duration keep,
+void ClaimClient::claim(const WorkspaceId &workspace, const IdempotencyKey &key, Duration retention,
                         ClaimDone done)
 {
     ++counts_.claims_;
     const AttemptToken token(makeRandomId());
     const ClaimRowRef row{ claimRowKey(workspace, key), token };
-    const Duration leastKeep = limits_.sendWindow_ * minRetentionInSendWindows;
-    const TimePoint eraseAt = clock_.now() + std::max(keep, leastKeep);
+    const Duration minRetention = limits_.sendWindow_ * minRetentionInSendWindows;
+    const TimePoint eraseAt = clock_.now() + std::max(retention, minRetention);
     auto onEnd = [this, row, eraseAt, done = std::move(done),
                   alive = std::weak_ptr<bool>(isAlive_)](const ClaimAttempt::End &end) {
         if (!alive.expired()) {
@@ -118,7 +119,7 @@
         pendingErasures_.add(row, eraseAt);
     }
     if (end.mayLeaveRow_) {
-        releaseDeadRowLater(row);
+        scheduleRelease(row);
     }
     done(end.result_);
 }
@@ -136,17 +137,17 @@
     }
 }
 
-void ClaimClient::releaseDeadRowLater(const ClaimRowRef &row)
+void ClaimClient::scheduleRelease(const ClaimRowRef &row)
 {
-    for (const Duration delay : deadRowLooks) {
-        deadRows_.add(row, clock_.now() + delay);
+    for (const Duration delay : undecidedReleaseDelays) {
+        pendingReleases_.add(row, clock_.now() + delay);
     }
 }
 
-void ClaimClient::settle(const ClaimGrant &grant, ClaimResult result)
+void ClaimClient::reportResult(const ClaimGrant &grant, ClaimResult result)
 {
     if (result == ClaimResult::Unknown) {
-        return; // The row says so already: claimed, and nobody released it.
+        return; // The row stays claimed, which means that the outcome is unknown.
     }
     const ClaimState state = result == ClaimResult::Ran ? ClaimState::Ran : ClaimState::Released;
     updater_.add(ClaimRowUpdate{ claimRowKey(grant.workspace_, grant.key_), grant.token_,
@@ -162,16 +163,16 @@
 {
     updater_.resetQuota(limits_.updatesPerSecond_);
     const TimePoint now = clock_.now();
-    while (const auto dead = deadRows_.takeDue(now)) {
-        updater_.add(ClaimRowUpdate{ dead->rowKey_, dead->token_,
-                                     makeRow(dead->token_, ClaimState::Released) });
+    while (const auto row = pendingReleases_.takeDue(now)) {
+        updater_.add(ClaimRowUpdate{ row->rowKey_, row->token_,
+                                     makeRow(row->token_, ClaimState::Released) });
     }
     for (std::size_t i = 0; i < limits_.erasuresPerSecond_; ++i) {
-        const auto kept = pendingErasures_.takeDue(now);
-        if (!kept) {
+        const auto row = pendingErasures_.takeDue(now);
+        if (!row) {
             return;
         }
-        updater_.add(ClaimRowUpdate{ kept->rowKey_, kept->token_, std::nullopt });
+        updater_.add(ClaimRowUpdate{ row->rowKey_, row->token_, std::nullopt });
     }
 }
 
--- a/packages/qz_once/claims/claimclient.h
+++ b/packages/qz_once/claims/claimclient.h
@@ -1,5 +1,4 @@
-// At-most-once execution of requests that must not be repeated: the part of an entry
-// instance.
+// Claims idempotency keys for the requests that an entry instance sends.
 #pragma once
 
 #include "qz_core/loop/eventloop.h"
@@ -13,16 +12,16 @@
 
 namespace qz {
 
-/// Claims idempotency keys before anything is sent, and reports afterwards what became of
-/// each request. Use it for every request of a kind that may not be repeated.
+/// Provides at-most-once execution: claims an idempotency key before a request is sent, and
+/// records the result of the request afterwards. Use it for every non-repeatable request.
 ///
-/// The row of a key is written only if it is absent or released, under a token that is fresh
-/// for each call of claim(). Whoever's token the row holds may send; nobody else ever does,
-/// and no claim is taken over because time has passed. So a claimer that is paused for long
-/// harms nobody, and a claimer that is lost leaves its keys with an unknown outcome.
+/// The row of a key is written only if it is absent or released. Each call of claim() writes a
+/// new token, and only the caller whose token the row holds may send the request. A claim never
+/// expires in favor of another claimer. A claimer that is paused for long is therefore safe, and
+/// the keys of a claimer that is lost keep an unknown outcome.
 ///
 /// Invariant: a row is erased no sooner than minRetentionInSendWindows send windows after its
-/// claim, by the clock of the claimer, which is the clock of the grant.
+/// claim, by the claimer's clock, which the grant uses too.
 /// @see ClaimGrant
 class ClaimClient
 {
@@ -32,22 +31,23 @@
     ClaimClient(const ClaimClient &) = delete;
     ClaimClient &operator=(const ClaimClient &) = delete;
 
-    /// Claims @p key for one request; the row is kept for at least @p keep.
-    /// @p done is called once. Errors, all of which mean that nothing was or will be sent
-    /// under this claim:
-    /// - AlreadyClaimed: somebody else holds the key, or held it; the message says who, and
-    ///   what is known. The request may have run under that claim.
+    /// Claims @p key for one request. The row stays in the table for at least @p retention.
+    /// Calls @p done once. After any of these errors, no request was or will be sent under this
+    /// claim:
+    /// - AlreadyClaimed: another claim holds or held the key. The message names its claimer and
+    ///   its state. The request may have run under that claim.
     /// - ClaimStoreUnavailable: no row was written and none will be.
-    /// - ClaimUndecided: the answer was lost and reading back failed. The row may be there,
-    ///   now or later, under a token that is dead.
-    void claim(const WorkspaceId &workspace, const IdempotencyKey &key, Duration keep,
+    /// - ClaimUndecided: a write may have taken effect, or may do so later, but the claim could
+    ///   not be confirmed in time. The row may appear with a token that nobody uses.
+    void claim(const WorkspaceId &workspace, const IdempotencyKey &key, Duration retention,
                ClaimDone done);
 
-    /// Reports what became of the request. NotRun releases the key, so that a retry by the
-    /// caller may run; the holder must never send under the grant after that. Best effort.
-    void settle(const ClaimGrant &grant, ClaimResult result);
+    /// Records the result of the request in the row. NotRun releases the key, so that a retry by
+    /// the caller may run; the request must never be sent under this grant after that. Best
+    /// effort: a result that cannot be written is not recorded.
+    void reportResult(const ClaimGrant &grant, ClaimResult result);
 
-    /// Counts since the start, for metrics and state dumps.
+    /// Counts for metrics and state dumps: since the start, except pendingErasures_.
     struct Counts
     {
         std::size_t claims_ = 0;
@@ -67,7 +67,7 @@
     void onAttemptEnded(const ClaimRowRef &row, TimePoint eraseAt, const ClaimAttempt::End &end,
                         const ClaimDone &done);
     void count(const Result<ClaimGrant> &result);
-    void releaseDeadRowLater(const ClaimRowRef &row);
+    void scheduleRelease(const ClaimRowRef &row);
     ClaimRow makeRow(AttemptToken token, ClaimState state) const;
     void onTick();
 
@@ -76,18 +76,19 @@
     const InstanceId self_;
     const std::string incarnation_;
     const ClaimLimits limits_;
-    std::unique_ptr<ClaimBatcher> ownBatcher_; ///< Only without a writer from outside.
+    std::unique_ptr<ClaimBatcher> ownBatcher_; ///< Null if the builder has a row writer.
     RowWriter write_;
     ClaimRowUpdater updater_;
-    DelayedRowQueue pendingErasures_; ///< To be erased.
-    DelayedRowQueue deadRows_; ///< Nobody sends under their tokens; to be released if they appear.
+    DelayedRowQueue pendingErasures_;
+    DelayedRowQueue pendingReleases_; ///< Rows of undecided claims, released if they appear.
     Counts counts_;
     Timers::HandlePtr tick_;
-    std::shared_ptr<bool> isAlive_ = std::make_shared<bool>(true); ///< For late answers.
+    /// Checked by callbacks, which may come after this object was deleted.
+    std::shared_ptr<bool> isAlive_ = std::make_shared<bool>(true);
 };
 
-/// Collects what a ClaimClient needs. Table, timers, clock, instance and incarnation must be
-/// set; table, timers and clock outlive the client.
+/// Builds a ClaimClient. Table, timers, clock, instance and incarnation must be set. Table, timers
+/// and clock outlive the client.
 class ClaimClient::Builder
 {
 public:
@@ -97,7 +98,7 @@
     Builder &setSelf(InstanceId self);
     Builder &setIncarnation(std::string incarnation);
     Builder &setLimits(ClaimLimits limits);
-    /// The way of writes to the table; without one the client groups its own.
+    /// Sets the function that writes rows. By default, the client has its own ClaimBatcher.
     Builder &setRowWriter(RowWriter write);
 
     std::unique_ptr<ClaimClient> build() const;
--- a/packages/qz_once/claims/claimgrant.h
+++ b/packages/qz_once/claims/claimgrant.h
@@ -1,4 +1,4 @@
-// What a successful claim hands out, and what its holder reports back.
+// The result of a successful claim, and the result that its holder reports afterwards.
 #pragma once
 
 #include "qz_core/time/clock.h"
@@ -11,11 +11,11 @@
 
 /// The right to send one non-repeatable request.
 ///
-/// Invariant: of all grants for one key, in all processes, at most one is neither settled as
-/// NotRun nor older than the time for which claims are kept. Whoever holds it may send the
-/// request, and send it again only after a try that provably did not run, and only before
-/// sendBefore_ by the clock that the ClaimClient was given. What crosses a link is the time
-/// remaining; the receiver checks it again right before it sends.
+/// Invariant: of all grants for one key, in all processes, at most one is neither reported as
+/// NotRun nor older than the retention time of claims. Its holder may send the request before
+/// sendBefore_, by the clock of the ClaimClient, and may send it again only after an attempt that
+/// provably did not run. Peer links carry the remaining time instead of sendBefore_, and the
+/// receiver checks it again right before it sends the request.
 /// @see ClaimClient
 struct ClaimGrant
 {
@@ -23,14 +23,14 @@
     IdempotencyKey key_;
     AttemptToken token_;
     TimePoint sendBefore_;
-    RowVersion version_ = 0; ///< Of the claimed row, or 0 if it was not read.
+    RowVersion version_ = 0; ///< Version of the claimed row; 0 if the row was not read.
 };
 
-/// What became of a request that was sent, or not, under a grant.
+/// The result of a request for which a claim was granted.
 enum class ClaimResult : std::uint8_t {
-    Ran,     ///< A backend server ran it.
-    NotRun,  ///< It was not run, and its holder will not send it any more.
-    Unknown, ///< It may have run.
+    Ran,     ///< A backend server ran the request.
+    NotRun,  ///< The request did not run, and the holder will not send it any more.
+    Unknown, ///< The request may have run.
 };
 
 using ClaimDone = std::function<void(Result<ClaimGrant>)>;
--- a/packages/qz_once/claims/claimlimits.h
+++ b/packages/qz_once/claims/claimlimits.h
@@ -1,4 +1,4 @@
-// Bounds of claiming, settling and keeping.
+// Limits of claims, their results and their retention.
 #pragma once
 
 #include "qz_core/time/clock.h"
@@ -7,23 +7,24 @@
 
 namespace qz {
 
-/// Bounds of a ClaimClient.
-/// Invariant: sendWindow_ is far below the least time for which a claim is kept, so that no
-/// grant is still good when its row is erased.
+/// Limits of a ClaimClient.
+/// Invariant: sendWindow_ is far below the minimum retention time of a claim, so that every grant
+/// has ended when its row is erased.
 struct ClaimLimits
 {
-    Duration sendWindow_ = std::chrono::seconds(30);    ///< From claim() until a grant ends.
-    Duration retryTimeLimit_ = std::chrono::seconds(2); ///< No new try of a claim after this.
-    int maxWrites_ = 4;                                 ///< Writes of one claim, at most.
+    /// From claim() until its grant ends.
+    Duration sendWindow_ = std::chrono::seconds(30);
+    /// A claim is not written again after this time.
+    Duration retryTimeLimit_ = std::chrono::seconds(2);
+    int maxWrites_ = 4; ///< Maximum number of writes per claim.
     std::size_t maxUpdatesInFlight_ = 16;
-    std::size_t maxQueuedUpdates_ = 4096; ///< Results waiting to be recorded; more are dropped.
-    std::size_t updatesPerSecond_ = 20;   ///< Results, releases and erasures; each is a read, too.
+    std::size_t maxQueuedUpdates_ = 4096; ///< Further results, releases and erasures are dropped.
+    std::size_t updatesPerSecond_ = 20;   ///< Results, releases and erasures; each may also read.
     std::size_t erasuresPerSecond_ = 10;
-    std::size_t pendingErasures_ =
-            100'000; ///< Rows remembered for erasing; more stay in the table.
+    std::size_t maxPendingErasures_ = 100'000; ///< Further rows stay in the table for good.
 };
 
-/// The least time for which a claim is kept, in send windows.
+/// The minimum time for which a claimed row stays in the table, in send windows.
 constexpr int minRetentionInSendWindows = 4;
 
 } // namespace qz
--- a/packages/qz_once/claims/claimrow.cpp
+++ b/packages/qz_once/claims/claimrow.cpp
@@ -1,4 +1,4 @@
-// Table keys and JSON text of claims.
+// Table keys and JSON format of claims.
 #include "qz_once/claims/claimrow.h"
 
 #include <nlohmann/json.hpp>
@@ -12,7 +12,7 @@
 constexpr std::string_view rowPrefix = "once/";
 constexpr std::array states{ ClaimState::Claimed, ClaimState::Ran, ClaimState::Released };
 
-/// Escapes the separator and the escape character itself.
+/// Escapes the separator '/' and the escape character '%'.
 std::string escape(const std::string &text)
 {
     std::string escaped;
@@ -36,7 +36,7 @@
             return state;
         }
     }
-    return failure(ErrorKind::MalformedReply, "a claim row has the unknown state " + name);
+    return failure(ErrorKind::MalformedReply, "claim row has an unknown state: " + name);
 }
 
 } // namespace
@@ -66,7 +66,7 @@
     for (const char *member : { "token", "claimer", "incarnation", "state" }) {
         if (!parsed.is_object() || !parsed.contains(member) || !parsed[member].is_string()) {
             return failure(ErrorKind::MalformedReply,
-                           std::string("a claim row has no text ") + member);
+                           std::string("claim row has no text member ") + member);
         }
     }
     const Result<ClaimState> state = parseState(parsed["state"].get<std::string>());
--- a/packages/qz_once/claims/claimrow.h
+++ b/packages/qz_once/claims/claimrow.h
@@ -1,4 +1,4 @@
-// The table row that stands for one idempotency key.
+// The table row of an idempotency key.
 #pragma once
 
 #include "qz_core/errors/error.h"
@@ -10,13 +10,14 @@
 
 namespace qz {
 
-using AttemptToken = StrongId<struct AttemptTokenTag>; ///< One call of ClaimClient::claim().
+/// Identifies a call of ClaimClient::claim().
+using AttemptToken = StrongId<struct AttemptTokenTag>;
 
-/// What a row says about its key.
+/// The state of a key.
 enum class ClaimState : std::uint8_t {
-    Claimed,  ///< The holder of the token may send, may have sent, or has lost track.
+    Claimed,  ///< The holder may send or may have sent the request; the outcome is unknown.
     Ran,      ///< A backend server ran the request under the token.
-    Released, ///< Nothing was sent under the token and nothing will be; free to be claimed.
+    Released, ///< The request did not and will not run under the token; the key can be claimed.
 };
 
 /// The content of the row `once/<workspace>/<key>`.
@@ -24,19 +25,19 @@
 {
     AttemptToken token_;
     InstanceId claimer_;
-    std::string incarnation_; ///< The claimer's, new with each start of its process.
+    std::string incarnation_; ///< Of the claimer; changes with each start of its process.
     ClaimState state_ = ClaimState::Claimed;
 };
 
-/// The table key of the row for @p key. Two different pairs never share a row.
+/// Returns the table key of the row for @p key. Different workspaces or keys never share a row.
 std::string claimRowKey(const WorkspaceId &workspace, const IdempotencyKey &key);
 
-/// Whether @p rowKey is one that claimRowKey() makes.
+/// Returns whether @p rowKey has the prefix of the rows of claims.
 bool isClaimRowKey(std::string_view rowKey);
 
 std::string toJson(const ClaimRow &row);
 
-/// Reads what toJson() wrote; else MalformedReply.
+/// Parses the format of toJson(). Fails with MalformedReply for any other text.
 Result<ClaimRow> parseClaimRow(std::string_view json);
 
 std::string_view toString(ClaimState state);
--- a/packages/qz_once/claims/claimrowupdater.cpp
+++ b/packages/qz_once/claims/claimrowupdater.cpp
@@ -1,4 +1,4 @@
-// Conditional changes to rows by token and version.
+// Conditional updates of rows by token and version.
 #include "qz_once/claims/claimrowupdater.h"
 
 #include <utility>
--- a/packages/qz_once/claims/claimrowupdater.h
+++ b/packages/qz_once/claims/claimrowupdater.h
@@ -1,4 +1,4 @@
-// Changes to rows that this process wrote: recording results, releasing, erasing.
+// Updates of rows that this process wrote: records results, releases keys, erases rows.
 #pragma once
 
 #include "qz_core/loop/eventloop.h"
@@ -12,33 +12,34 @@
 
 namespace qz {
 
-/// One change, made only if the row still holds the token.
+/// An update of a row that is made only if the row still holds the token.
 struct ClaimRowUpdate
 {
     std::string rowKey_;
     AttemptToken token_;
-    std::optional<ClaimRow> newRow_; ///< No value erases the row.
-    RowVersion version_ = 0;         ///< If known; else the row is read first.
+    std::optional<ClaimRow> newRow_; ///< Without a value, the row is erased.
+    RowVersion version_ = 0;         ///< 0 if unknown; the row is read first then.
 };
 
-/// Reads each row, compares its token, and writes under the version that was read. Best
-/// effort: a change whose answer is lost is not made again, since nothing relies on it but
-/// how soon a key can be claimed again and how long rows are kept.
+/// Reads each row unless its version is known, compares its token, and writes on the condition
+/// that the version is unchanged. Best effort: an update whose response is lost is not repeated,
+/// since it only affects how soon a key can be claimed again and how long a row is kept.
 ///
-/// Invariant: at most inFlightLimit changes are under way, and no more are started between two
-/// calls of resetQuota() than it allowed, so that reads and writes stay within what claims leave of
-/// the table. Releases go first.
+/// Invariant: at most inFlightLimit updates are in flight, and between two calls of resetQuota()
+/// no more updates start than it allowed. This leaves enough of the table's capacity to claims.
+/// Releases are made before other updates.
 /// @see ClaimClient
 class ClaimRowUpdater
 {
 public:
-    /// @p queueLimit: changes waiting, more are dropped. Nothing starts before resetQuota().
+    /// @p queueLimit: maximum number of waiting updates; further ones are dropped. No update starts
+    /// before the first call of resetQuota().
     ClaimRowUpdater(Table &table, RowWriter write, std::size_t inFlightLimit,
                     std::size_t queueLimit);
 
     void add(ClaimRowUpdate update);
 
-    /// Allows @p count changes from now on.
+    /// Allows @p count updates to start until the next call; replaces what is left of the quota.
     void resetQuota(std::size_t count);
 
     std::size_t droppedCount() const { return droppedCount_; }
@@ -54,11 +55,12 @@
     RowWriter write_;
     const std::size_t inFlightLimit_;
     const std::size_t queueLimit_;
-    std::deque<ClaimRowUpdate> queue_; ///< At most queueLimit_.
+    std::deque<ClaimRowUpdate> queue_; ///< Holds at most queueLimit_ updates.
     std::size_t inFlight_ = 0;
     std::size_t quota_ = 0;
     std::size_t droppedCount_ = 0;
-    std::shared_ptr<bool> isAlive_ = std::make_shared<bool>(true); ///< For late answers.
+    /// Checked by callbacks, which may come after this object was deleted.
+    std::shared_ptr<bool> isAlive_ = std::make_shared<bool>(true);
 };
 
 } // namespace qz
--- a/packages/qz_once/claims/delayedrowqueue.cpp
+++ b/packages/qz_once/claims/delayedrowqueue.cpp
@@ -1,27 +1,27 @@
-// Rows waiting to be erased.
+// Rows ordered by the time at which they are due.
 #include "qz_once/claims/delayedrowqueue.h"
 
 #include <utility>
 
 namespace qz {
 
-void DelayedRowQueue::add(ClaimRowRef row, TimePoint eraseAt)
+void DelayedRowQueue::add(ClaimRowRef row, TimePoint dueTime)
 {
     if (rows_.size() >= limit_) {
         ++droppedCount_;
         return;
     }
-    rows_.emplace(eraseAt, std::move(row));
+    rows_.emplace(dueTime, std::move(row));
 }
 
 std::optional<ClaimRowRef> DelayedRowQueue::takeDue(TimePoint now)
 {
-    const auto oldest = rows_.begin();
-    if (oldest == rows_.end() || oldest->first > now) {
+    const auto earliest = rows_.begin();
+    if (earliest == rows_.end() || earliest->first > now) {
         return std::nullopt;
     }
-    std::optional<ClaimRowRef> row = std::move(oldest->second);
-    rows_.erase(oldest);
+    std::optional<ClaimRowRef> row = std::move(earliest->second);
+    rows_.erase(earliest);
     return row;
 }
 
--- a/packages/qz_once/claims/delayedrowqueue.h
+++ b/packages/qz_once/claims/delayedrowqueue.h
@@ -1,4 +1,4 @@
-// Remembers the rows that this process wrote until they may be erased.
+// Rows that this process wrote and has to release or erase later.
 #pragma once
 
 #include "qz_core/time/clock.h"
@@ -10,26 +10,28 @@
 
 namespace qz {
 
-/// A row that this process wrote.
+/// Identifies a row that this process wrote.
 struct ClaimRowRef
 {
     std::string rowKey_;
     AttemptToken token_;
 };
 
-/// Rows by the time at which they may be erased.
-/// Invariant: holds at most the limit; what does not fit stays in the table for good.
+/// Rows ordered by the time at which they are due.
+/// Invariant: holds at most `limit` rows. A row that does not fit is not added and therefore stays
+/// in the table for good.
 class DelayedRowQueue
 {
 public:
+    /// @p limit: maximum number of rows.
     explicit DelayedRowQueue(std::size_t limit)
         : limit_(limit)
     {
     }
 
-    void add(ClaimRowRef row, TimePoint eraseAt);
+    void add(ClaimRowRef row, TimePoint dueTime);
 
-    /// Takes out one row that is due at @p now, the oldest first.
+    /// Removes and returns the earliest row that is due at @p now, if any.
     std::optional<ClaimRowRef> takeDue(TimePoint now);
 
     std::size_t size() const { return rows_.size(); }
--- a/packages/qz_once/qz_once.h
+++ b/packages/qz_once/qz_once.h
@@ -1,6 +1,6 @@
 // Package:      qz_once
-// Purpose:      at-most-once execution of requests that must not be repeated: claims of
-//               idempotency keys in the platform's table.
+// Purpose:      at-most-once execution of non-repeatable requests: claims idempotency keys in
+//               the platform's table.
 // Dependencies: qz_core, qz_platform, msgpack-cxx, nlohmann-json
 #pragma once
 
--- a/packages/qz_once/tests/claimclienttest.cpp
+++ b/packages/qz_once/tests/claimclienttest.cpp
@@ -1,4 +1,4 @@
-// Tests of claiming, settling and keeping, under the faults of the table.
+// Tests of claims, their results and their retention, with faults of the table.
 #include "claimfixture.h"
 
 #include <boost/test/unit_test.hpp>
@@ -14,11 +14,11 @@
 
 namespace {
 
-/// Reads work; writes are lost and have no effect.
-class LosingTable : public Table
+/// A table whose reads succeed, and whose writes are lost without an effect.
+class WriteLosingTable : public Table
 {
 public:
-    explicit LosingTable(FakeTable &table)
+    explicit WriteLosingTable(FakeTable &table)
         : table_(table)
     {
     }
@@ -27,13 +27,13 @@
 
     void commit(std::vector<TableWrite> writes, CommitDone done) override
     {
-        ++commits_;
+        ++commitCount_;
         table_.setFault(Fault::LoseCalls);
         table_.commit(std::move(writes), std::move(done));
         table_.setFault(Fault::None);
     }
 
-    int commits_ = 0;
+    int commitCount_ = 0;
 
 private:
     FakeTable &table_;
@@ -43,35 +43,35 @@
 
 BOOST_FIXTURE_TEST_SUITE(claimClient, ClaimFixture)
 
-BOOST_AUTO_TEST_CASE(aClaimIsTriedALimitedNumberOfTimes)
+BOOST_AUTO_TEST_CASE(aClaimIsWrittenALimitedNumberOfTimes)
 {
-    LosingTable losing(table_);
+    WriteLosingTable losing(table_);
     const auto a = makeClient("a", losing);
-    BOOST_TEST(failsWith(claimNow(*a), ErrorKind::ClaimUndecided));
-    BOOST_TEST(losing.commits_ == ClaimLimits{}.maxWrites_);
+    BOOST_TEST(failsWith(claimAndWait(*a), ErrorKind::ClaimUndecided));
+    BOOST_TEST(losing.commitCount_ == ClaimLimits{}.maxWrites_);
 }
 
-BOOST_AUTO_TEST_CASE(aClaimIsNotTriedAgainAfterItsAnswerLimit)
+BOOST_AUTO_TEST_CASE(aClaimIsNotWrittenAgainAfterItsRetryTimeLimit)
 {
-    LosingTable losing(table_);
+    WriteLosingTable losing(table_);
     const auto a = makeClient("a", losing);
-    Answer answer;
-    claim(*a, answer);
+    PendingClaim pending;
+    claim(*a, pending);
     timers_.advance(ClaimLimits{}.retryTimeLimit_);
-    settle();
-    BOOST_TEST(failsWith(answer.value(), ErrorKind::ClaimUndecided));
-    BOOST_TEST(losing.commits_ == 1);
+    runFor();
+    BOOST_TEST(failsWith(pending.value(), ErrorKind::ClaimUndecided));
+    BOOST_TEST(losing.commitCount_ == 1);
 }
 
 BOOST_AUTO_TEST_CASE(theSameKeyAtTwoInstancesAtOnceIsGrantedOnce)
 {
     const auto a = makeClient("a");
     const auto b = makeClient("b");
-    Answer first;
-    Answer second;
+    PendingClaim first;
+    PendingClaim second;
     claim(*a, first);
     claim(*b, second);
-    settle();
+    runFor();
     BOOST_TEST(first.value().has_value());
     BOOST_TEST(failsWith(second.value(), ErrorKind::AlreadyClaimed));
     BOOST_TEST(second.value().error().message_ == "the key was claimed by a; its state is claimed");
@@ -80,46 +80,46 @@
 BOOST_AUTO_TEST_CASE(theSameKeyTwiceAtOneInstanceIsGrantedOnce)
 {
     const auto a = makeClient("a");
-    Answer first;
-    Answer second;
+    PendingClaim first;
+    PendingClaim second;
     claim(*a, first);
     claim(*a, second);
-    settle();
+    runFor();
     BOOST_TEST(first.value().has_value());
     BOOST_TEST(failsWith(second.value(), ErrorKind::AlreadyClaimed));
 }
 
-BOOST_AUTO_TEST_CASE(aLostAnswerIsSettledByReadingBack)
+BOOST_AUTO_TEST_CASE(aLostResponseIsResolvedByReadingTheRow)
 {
     const auto a = makeClient("a");
-    Answer answer;
-    claim(*a, answer);
+    PendingClaim pending;
+    claim(*a, pending);
     table_.setFault(Fault::LoseAnswers);
-    timers_.advance(2ms); // The claim is written; its answer is lost.
+    timers_.advance(2ms); // The claim is written, but the response is lost.
     table_.setFault(Fault::None);
-    settle();
-    BOOST_TEST(answer.value().has_value());
-    BOOST_TEST(answer.value().value().version_ != 0U);
+    runFor();
+    BOOST_TEST(pending.value().has_value());
+    BOOST_TEST(pending.value().value().version_ != 0U);
 }
 
-BOOST_AUTO_TEST_CASE(aLostWriteIsMadeAgainUnderTheSameToken)
+BOOST_AUTO_TEST_CASE(aLostWriteIsRepeatedWithTheSameToken)
 {
     const auto a = makeClient("a");
-    Answer answer;
-    claim(*a, answer);
+    PendingClaim pending;
+    claim(*a, pending);
     table_.setFault(Fault::LoseCalls);
     timers_.advance(2ms);
     table_.setFault(Fault::None);
-    settle();
-    BOOST_TEST(answer.value().has_value());
-    BOOST_TEST((row().value().token_ == answer.value().value().token_));
+    runFor();
+    BOOST_TEST(pending.value().has_value());
+    BOOST_TEST((row().value().token_ == pending.value().value().token_));
 }
 
-BOOST_AUTO_TEST_CASE(aClaimIsUndecidedIfReadingBackFailsToo)
+BOOST_AUTO_TEST_CASE(aClaimIsUndecidedIfReadingTheRowFailsToo)
 {
     const auto a = makeClient("a");
     table_.setFault(Fault::LoseAnswers);
-    BOOST_TEST(failsWith(claimNow(*a), ErrorKind::ClaimUndecided));
+    BOOST_TEST(failsWith(claimAndWait(*a), ErrorKind::ClaimUndecided));
     BOOST_TEST(row().has_value());
 }
 
@@ -128,156 +128,156 @@
     const auto a = makeClient("a");
     const auto b = makeClient("b");
     table_.setFault(Fault::LoseAnswers);
-    BOOST_TEST(failsWith(claimNow(*a), ErrorKind::ClaimUndecided));
+    BOOST_TEST(failsWith(claimAndWait(*a), ErrorKind::ClaimUndecided));
     table_.setFault(Fault::None);
-    BOOST_TEST(failsWith(claimNow(*b), ErrorKind::AlreadyClaimed));
-    settle(7s);
-    BOOST_TEST(claimNow(*b).has_value());
+    BOOST_TEST(failsWith(claimAndWait(*b), ErrorKind::AlreadyClaimed));
+    runFor(7s);
+    BOOST_TEST(claimAndWait(*b).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(nothingIsWrittenWhileTheTableIsDown)
 {
     const auto a = makeClient("a");
     table_.setFault(Fault::Down);
-    BOOST_TEST(failsWith(claimNow(*a), ErrorKind::ClaimStoreUnavailable));
+    BOOST_TEST(failsWith(claimAndWait(*a), ErrorKind::ClaimStoreUnavailable));
     BOOST_TEST(!row().has_value());
     table_.setFault(Fault::None);
-    BOOST_TEST(claimNow(*a).has_value());
+    BOOST_TEST(claimAndWait(*a).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(aRefusalAfterALostAnswerIsNotTakenForNoRow)
+BOOST_AUTO_TEST_CASE(aRefusalAfterALostResponseDoesNotMeanThatNoRowExists)
 {
     const auto a = makeClient("a");
-    Answer answer;
-    claim(*a, answer);
+    PendingClaim pending;
+    claim(*a, pending);
     table_.setFault(Fault::LoseAnswers);
     timers_.advance(2ms);
     table_.setFault(Fault::Down);
-    settle();
-    BOOST_TEST(failsWith(answer.value(), ErrorKind::ClaimUndecided));
+    runFor();
+    BOOST_TEST(failsWith(pending.value(), ErrorKind::ClaimUndecided));
 }
 
-BOOST_AUTO_TEST_CASE(aRefusalAfterALostWriteIsNotTakenForNoRow)
+BOOST_AUTO_TEST_CASE(aRefusalAfterALostWriteDoesNotMeanThatNoRowExists)
 {
     const auto a = makeClient("a");
-    Answer answer;
-    claim(*a, answer);
+    PendingClaim pending;
+    claim(*a, pending);
     table_.setFault(Fault::LoseCalls);
     timers_.advance(2ms);
     table_.setFault(Fault::None);
-    table_.deliver(); // The row is read and absent; the claim is to be written again.
+    table_.deliver(); // The row is read and is absent; the claim will be written again.
     table_.setFault(Fault::Down);
-    settle();
-    BOOST_TEST(failsWith(answer.value(), ErrorKind::ClaimUndecided));
+    runFor();
+    BOOST_TEST(failsWith(pending.value(), ErrorKind::ClaimUndecided));
 }
 
-BOOST_AUTO_TEST_CASE(aSettledNotRunFreesTheKeyForOneRetry)
+BOOST_AUTO_TEST_CASE(theResultNotRunReleasesTheKeyForOneRetry)
 {
     const auto a = makeClient("a");
     const auto b = makeClient("b");
-    a->settle(claimNow(*a).value(), ClaimResult::NotRun);
-    settle();
+    a->reportResult(claimAndWait(*a).value(), ClaimResult::NotRun);
+    runFor();
     BOOST_TEST((row().value().state_ == ClaimState::Released));
-    BOOST_TEST(claimNow(*b).has_value());
-    BOOST_TEST(failsWith(claimNow(*a), ErrorKind::AlreadyClaimed));
+    BOOST_TEST(claimAndWait(*b).has_value());
+    BOOST_TEST(failsWith(claimAndWait(*a), ErrorKind::AlreadyClaimed));
 }
 
-BOOST_AUTO_TEST_CASE(aRunRequestStaysClaimedAndSaysSo)
+BOOST_AUTO_TEST_CASE(theKeyOfARequestThatRanStaysClaimed)
 {
     const auto a = makeClient("a");
     const auto b = makeClient("b");
-    a->settle(claimNow(*a).value(), ClaimResult::Ran);
-    settle();
-    const auto second = claimNow(*b);
+    a->reportResult(claimAndWait(*a).value(), ClaimResult::Ran);
+    runFor();
+    const auto second = claimAndWait(*b);
     BOOST_TEST(failsWith(second, ErrorKind::AlreadyClaimed));
     BOOST_TEST(second.error().message_ == "the key was claimed by a; its state is ran");
 }
 
-BOOST_AUTO_TEST_CASE(anUnknownOutcomeStaysClaimed)
+BOOST_AUTO_TEST_CASE(theKeyOfAnUnknownOutcomeStaysClaimed)
 {
     const auto a = makeClient("a");
     const auto b = makeClient("b");
-    a->settle(claimNow(*a).value(), ClaimResult::Unknown);
-    settle();
-    BOOST_TEST(failsWith(claimNow(*b), ErrorKind::AlreadyClaimed));
+    a->reportResult(claimAndWait(*a).value(), ClaimResult::Unknown);
+    runFor();
+    BOOST_TEST(failsWith(claimAndWait(*b), ErrorKind::AlreadyClaimed));
 }
 
 BOOST_AUTO_TEST_CASE(aLostReleaseOnlyBlocksTheKey)
 {
     const auto a = makeClient("a");
     const auto b = makeClient("b");
-    const ClaimGrant grant = claimNow(*a).value();
+    const ClaimGrant grant = claimAndWait(*a).value();
     table_.setFault(Fault::LoseCalls);
-    a->settle(grant, ClaimResult::NotRun);
-    settle();
+    a->reportResult(grant, ClaimResult::NotRun);
+    runFor();
     table_.setFault(Fault::None);
-    BOOST_TEST(failsWith(claimNow(*b), ErrorKind::AlreadyClaimed));
+    BOOST_TEST(failsWith(claimAndWait(*b), ErrorKind::AlreadyClaimed));
 }
 
-BOOST_AUTO_TEST_CASE(aGrantEndsByTheClockOfItsClaimNotOfItsAnswer)
+BOOST_AUTO_TEST_CASE(theSendWindowStartsWithTheClaimNotWithItsGrant)
 {
     const auto a = makeClient("a");
     const TimePoint start = clock_.now();
-    Answer answer;
-    claim(*a, answer);
+    PendingClaim pending;
+    claim(*a, pending);
     timers_.advance(1500ms); // The table is slow.
-    settle();
-    BOOST_TEST((answer.value().value().sendBefore_ == start + ClaimLimits{}.sendWindow_));
+    runFor();
+    BOOST_TEST((pending.value().value().sendBefore_ == start + ClaimLimits{}.sendWindow_));
 }
 
-BOOST_AUTO_TEST_CASE(aClaimWhoseWindowPassedIsNotGranted)
+BOOST_AUTO_TEST_CASE(aClaimWhoseSendWindowHasPassedIsNotGranted)
 {
     const auto a = makeClient("a");
     const auto b = makeClient("b");
-    Answer answer;
-    claim(*a, answer);
+    PendingClaim pending;
+    claim(*a, pending);
     timers_.advance(2ms);
-    clock_.advance(ClaimLimits{}.sendWindow_); // The claimer is paused.
-    settle();
-    BOOST_TEST(failsWith(answer.value(), ErrorKind::ClaimUndecided));
-    settle(7s);
-    BOOST_TEST(claimNow(*b).has_value());
+    clock_.advance(ClaimLimits{}.sendWindow_); // The claimer was paused.
+    runFor();
+    BOOST_TEST(failsWith(pending.value(), ErrorKind::ClaimUndecided));
+    runFor(7s);
+    BOOST_TEST(claimAndWait(*b).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(aRowIsErasedAfterItsTimeAndNotBefore)
+BOOST_AUTO_TEST_CASE(aRowIsErasedAfterItsRetentionTimeAndNotBefore)
 {
     const auto a = makeClient("a");
-    BOOST_TEST(claimNow(*a).has_value());
-    timers_.advance(keep_ - 1min);
-    settle();
+    BOOST_TEST(claimAndWait(*a).has_value());
+    timers_.advance(retention_ - 1min);
+    runFor();
     BOOST_TEST(row().has_value());
     timers_.advance(1min);
-    settle(2s);
+    runFor(2s);
     BOOST_TEST(!row().has_value());
     BOOST_TEST(a->counts().pendingErasures_ == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(aShortKeepIsRaisedAboveTheSendWindow)
+BOOST_AUTO_TEST_CASE(aShortRetentionTimeIsRaisedAboveTheSendWindow)
 {
     const auto a = makeClient("a");
-    Answer answer;
-    a->claim(workspace_, key_, 1s, [&](const auto &result) { answer = result; });
-    settle();
+    PendingClaim pending;
+    a->claim(workspace_, key_, 1s, [&](const auto &result) { pending = result; });
+    runFor();
     timers_.advance(ClaimLimits{}.sendWindow_ * (minRetentionInSendWindows - 1));
-    settle(2s);
+    runFor(2s);
     BOOST_TEST(row().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(resultsAreRecordedAtABoundedRateAndReleasesGoFirst)
+BOOST_AUTO_TEST_CASE(resultsAreRecordedAtALimitedRateAndReleasesFirst)
 {
     const auto a = makeClient("a");
     const ClaimLimits limits;
     std::vector<ClaimGrant> grants;
     for (std::size_t i = 0; i < 2 * limits.updatesPerSecond_; ++i) {
         const IdempotencyKey key(std::to_string(i));
-        a->claim(workspace_, key, keep_,
+        a->claim(workspace_, key, retention_,
                  [&](const auto &result) { grants.push_back(result.value()); });
     }
-    settle();
+    runFor();
     for (const ClaimGrant &grant : grants) {
-        a->settle(grant, &grant == &grants.back() ? ClaimResult::NotRun : ClaimResult::Ran);
+        a->reportResult(grant, &grant == &grants.back() ? ClaimResult::NotRun : ClaimResult::Ran);
     }
-    settle(100ms);
+    runFor(100ms);
     const auto countOf = [&](ClaimState state) {
         return std::count_if(grants.begin(), grants.end(), [&](const ClaimGrant &grant) {
             const auto found = table_.peek(claimRowKey(grant.workspace_, grant.key_));
@@ -287,7 +287,7 @@
     const auto allowed = static_cast<long>(limits.updatesPerSecond_);
     BOOST_TEST(countOf(ClaimState::Released) == 1);
     BOOST_TEST(countOf(ClaimState::Claimed) == allowed);
-    settle(1s);
+    runFor(1s);
     BOOST_TEST(countOf(ClaimState::Claimed) == 0);
 }
 
--- a/packages/qz_once/tests/claimfixture.h
+++ b/packages/qz_once/tests/claimfixture.h
@@ -1,4 +1,4 @@
-// What the tests of claims share: a faulty table, a clock that stands still, and clients.
+// Fixture for the tests of claims: a table with injected faults, a manual clock, and clients.
 #pragma once
 
 #include "qz_core/time/manualtimers.h"
@@ -9,7 +9,7 @@
 
 namespace qz {
 
-/// One faulty table and the time of all processes.
+/// A table with injected faults, and a clock that all clients share.
 struct ClaimFixture
 {
     ManualClock clock_;
@@ -17,7 +17,7 @@
     FakeTable table_;
     const WorkspaceId workspace_{ "nakhla" };
     const IdempotencyKey key_{ "order-1" };
-    const Duration keep_ = std::chrono::hours(24);
+    const Duration retention_ = std::chrono::hours(24);
 
     std::unique_ptr<ClaimClient> makeClient(const std::string &name, Table &table)
     {
@@ -35,8 +35,8 @@
         return makeClient(name, table_);
     }
 
-    /// Lets time pass and answers arrive until nothing more comes of it.
-    void settle(Duration time = std::chrono::milliseconds(500))
+    /// Advances the clock by @p time in steps of 1 ms and delivers the table's responses.
+    void runFor(Duration time = std::chrono::milliseconds(500))
     {
         const Duration step = std::chrono::milliseconds(1);
         for (Duration passed{}; passed < time; passed += step) {
@@ -45,21 +45,23 @@
         }
     }
 
-    using Answer = std::optional<Result<ClaimGrant>>;
+    /// The result of a claim; empty until the claim has ended.
+    using PendingClaim = std::optional<Result<ClaimGrant>>;
 
-    /// Starts a claim whose end is put into @p answer.
-    void claim(ClaimClient &client, Answer &answer)
+    /// Starts a claim; @p pending receives its result.
+    void claim(ClaimClient &client, PendingClaim &pending)
     {
-        client.claim(workspace_, key_, keep_, [&answer](const auto &result) { answer = result; });
+        client.claim(workspace_, key_, retention_,
+                     [&pending](const auto &result) { pending = result; });
     }
 
-    /// Claims and waits for the end.
-    Result<ClaimGrant> claimNow(ClaimClient &client)
+    /// Claims the key and returns the result.
+    Result<ClaimGrant> claimAndWait(ClaimClient &client)
     {
-        Answer answer;
-        claim(client, answer);
-        settle();
-        return answer.value();
+        PendingClaim pending;
+        claim(client, pending);
+        runFor();
+        return pending.value();
     }
 
     std::optional<ClaimRow> row() const
--- a/packages/qz_once/tests/claimrowtest.cpp
+++ b/packages/qz_once/tests/claimrowtest.cpp
@@ -1,4 +1,4 @@
-// Tests of the table row of a claim.
+// Tests of the table key and JSON format of a claim row.
 #include "qz_once/claims/claimrow.h"
 
 #include <boost/test/unit_test.hpp>
@@ -14,7 +14,7 @@
     BOOST_TEST(qz::claimRowKey(WorkspaceId("a"), IdempotencyKey("b")) == "once/a/b");
 }
 
-BOOST_AUTO_TEST_CASE(aRowReadsBackAsItWasWritten)
+BOOST_AUTO_TEST_CASE(parsingRestoresAFormattedRow)
 {
     const qz::ClaimRow row{ qz::AttemptToken("t"), qz::InstanceId("i"), "n", qz::ClaimState::Ran };
     const qz::ClaimRow read = qz::parseClaimRow(qz::toJson(row)).value();
@@ -24,7 +24,7 @@
     BOOST_TEST((read.state_ == qz::ClaimState::Ran));
 }
 
-BOOST_AUTO_TEST_CASE(aRowThatIsNoClaimIsAnError)
+BOOST_AUTO_TEST_CASE(textThatIsNoClaimRowIsAnError)
 {
     for (const char *text :
          { "", "[]", "{}", R"({"token":1,"claimer":"","incarnation":"","state":"ran"})",
--- a/packages/qz_once/tests/claimscheduletest.cpp
+++ b/packages/qz_once/tests/claimscheduletest.cpp
@@ -1,4 +1,5 @@
-// Seeded random schedules: three clients, a faulty table and a server that counts.
+// Seeded random schedules of three clients and a table with faults: guards against a key whose
+// request runs twice, and against a request that runs although it was reported as not run.
 #include "qz_core/time/manualtimers.h"
 #include "qz_once/claims/claimclient.h"
 #include "randomtable.h"
@@ -19,22 +20,22 @@
 constexpr int schedules = 5000;
 constexpr int clients = 3;
 constexpr int keys = 2;
-constexpr int claimsInASchedule = 10;
+constexpr int claimsPerSchedule = 10;
 constexpr Duration sendWindow = 1s;
-constexpr Duration claimPeriod = 6s; ///< Long enough for rows to be erased meanwhile.
+constexpr Duration claimPeriod = 6s; ///< Long enough that rows are erased during it.
 constexpr Duration scheduleLength = 14s;
 
-/// What all schedules together came to, so that the test is seen to reach what it is about.
+/// Counts over all schedules, which show that the test reaches the cases that it guards.
 struct Totals
 {
     int runs_ = 0;
-    int shedThenRun_ = 0;
+    int runsAfterShed_ = 0;
     int refusedByGate_ = 0;
     int erasures_ = 0;
-    std::map<ErrorKind, int> failures_;
+    std::map<ErrorKind, int> errors_;
 };
 
-/// One schedule. Pauses of a process are long delays between its steps.
+/// One schedule. Long delays between the steps of a client simulate pauses of its process.
 class Schedule
 {
 public:
@@ -42,9 +43,9 @@
         : random_(seed)
         , totals_(totals)
     {
-        table_.setFaultShare(std::uniform_real_distribution<double>(0, 0.6)(random_));
-        // A key whose row is erased in its time is forgotten, with what ran under it.
-        table_.setErased([this](const std::string &rowKey) {
+        table_.setFaultProbability(std::uniform_real_distribution<double>(0, 0.6)(random_));
+        // After its row was erased, a key may be claimed and run again.
+        table_.setErasedHandler([this](const std::string &rowKey) {
             ++totals_.erasures_;
             runs_.erase(rowKey);
         });
@@ -65,14 +66,14 @@
 
     void run()
     {
-        for (int i = 0; i < claimsInASchedule; ++i) {
+        for (int i = 0; i < claimsPerSchedule; ++i) {
             const auto client = static_cast<std::size_t>(draw(clients));
             const IdempotencyKey key("key-" + std::to_string(draw(keys)));
             const Duration at = std::chrono::milliseconds(draw(claimPeriod / 1ms));
-            table_.later(at, [this, client, key] { claim(*clients_[client], key); });
+            table_.callLater(at, [this, client, key] { claim(*clients_[client], key); });
         }
         timers_.advance(scheduleLength);
-        BOOST_TEST(open_ == 0);
+        BOOST_TEST(openClaims_ == 0);
     }
 
     bool isViolated() const { return isViolated_; }
@@ -85,44 +86,45 @@
 
     void claim(ClaimClient &client, const IdempotencyKey &key)
     {
-        ++open_;
+        ++openClaims_;
         client.claim(WorkspaceId("w"), key, Duration::zero(), [this, &client](const auto &result) {
-            --open_;
+            --openClaims_;
             if (!result.has_value()) {
-                ++totals_.failures_[result.error().kind_];
+                ++totals_.errors_[result.error().kind_];
                 return;
             }
             const ClaimGrant &grant = result.value();
-            table_.later(table_.drawDelay(), [this, &client, grant] { send(client, grant); });
+            table_.callLater(table_.drawDelay(), [this, &client, grant] { send(client, grant); });
         });
     }
 
     void send(ClaimClient &client, const ClaimGrant &grant)
     {
         if (clock_.now() >= grant.sendBefore_) {
-            sayNotRun(client, grant);
+            reportNotRun(client, grant);
             return;
         }
-        table_.later(table_.drawDelay(), [this, &client, grant] { arriveAtGate(client, grant); });
+        table_.callLater(table_.drawDelay(),
+                         [this, &client, grant] { arriveAtGate(client, grant); });
     }
 
     void arriveAtGate(ClaimClient &client, const ClaimGrant &grant)
     {
         const bool isTooLate = clock_.now() >= grant.sendBefore_;
         totals_.refusedByGate_ += isTooLate ? 1 : 0;
-        const bool isShed = isTooLate || table_.isHit(0.4);
+        const bool isShed = isTooLate || table_.drawBool(0.4);
         if (!isShed) {
             execute(grant);
         }
-        if (table_.isHit(0.2)) {
-            client.settle(grant, ClaimResult::Unknown); // The answer is lost.
+        if (table_.drawBool(0.2)) {
+            client.reportResult(grant, ClaimResult::Unknown); // The response is lost.
             return;
         }
-        table_.later(table_.drawDelay(), [this, &client, grant, isShed] {
+        table_.callLater(table_.drawDelay(), [this, &client, grant, isShed] {
             if (isShed) {
-                sayNotRun(client, grant);
+                reportNotRun(client, grant);
             } else {
-                client.settle(grant, ClaimResult::Ran);
+                client.reportResult(grant, ClaimResult::Ran);
             }
         });
     }
@@ -131,17 +133,17 @@
     {
         const std::string rowKey = claimRowKey(grant.workspace_, grant.key_);
         ++totals_.runs_;
-        totals_.shedThenRun_ += shedKeys_.count(rowKey) > 0 ? 1 : 0;
-        isViolated_ = isViolated_ || ++runs_[rowKey] > 1 || toldNotRun_.count(grant.token_) > 0;
-        ran_.insert(grant.token_);
+        totals_.runsAfterShed_ += shedKeys_.count(rowKey) > 0 ? 1 : 0;
+        isViolated_ = isViolated_ || ++runs_[rowKey] > 1 || reportedNotRun_.count(grant.token_) > 0;
+        executed_.insert(grant.token_);
     }
 
-    void sayNotRun(ClaimClient &client, const ClaimGrant &grant)
+    void reportNotRun(ClaimClient &client, const ClaimGrant &grant)
     {
-        isViolated_ = isViolated_ || ran_.count(grant.token_) > 0;
-        toldNotRun_.insert(grant.token_);
+        isViolated_ = isViolated_ || executed_.count(grant.token_) > 0;
+        reportedNotRun_.insert(grant.token_);
         shedKeys_.insert(claimRowKey(grant.workspace_, grant.key_));
-        client.settle(grant, ClaimResult::NotRun);
+        client.reportResult(grant, ClaimResult::NotRun);
     }
 
     std::mt19937_64 random_;
@@ -150,17 +152,17 @@
     ManualTimers timers_{ clock_ };
     RandomTable table_{ timers_, random_ };
     std::array<std::unique_ptr<ClaimClient>, clients> clients_;
-    std::map<std::string, int> runs_; ///< By row key, since the key was last forgotten.
-    std::set<AttemptToken> ran_;
-    std::set<AttemptToken> toldNotRun_;
+    std::map<std::string, int> runs_; ///< By row key, since the row was last erased.
+    std::set<AttemptToken> executed_;
+    std::set<AttemptToken> reportedNotRun_;
     std::set<std::string> shedKeys_;
-    int open_ = 0;
+    int openClaims_ = 0;
     bool isViolated_ = false;
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(noScheduleRunsAKeyTwiceOrSaysNotRunOfWhatRan)
+BOOST_AUTO_TEST_CASE(noScheduleRunsAKeyTwiceOrRunsARequestReportedAsNotRun)
 {
     Totals totals;
     int violations = 0;
@@ -169,22 +171,22 @@
         schedule.run();
         if (schedule.isViolated()) {
             ++violations;
-            BOOST_TEST_MESSAGE("violated by seed " << seed);
+            BOOST_TEST_MESSAGE("invariant violated by seed " << seed);
         }
     }
     BOOST_TEST(violations == 0);
-    BOOST_TEST_MESSAGE("runs " << totals.runs_ << ", after a shed " << totals.shedThenRun_
+    BOOST_TEST_MESSAGE("runs " << totals.runs_ << ", after a shed " << totals.runsAfterShed_
                                << ", refused by the gate " << totals.refusedByGate_ << ", erasures "
                                << totals.erasures_);
-    for (const auto &[kind, count] : totals.failures_) {
+    for (const auto &[kind, count] : totals.errors_) {
         BOOST_TEST_MESSAGE(toString(kind) << " " << count);
     }
     BOOST_TEST(totals.runs_ > schedules);
-    BOOST_TEST(totals.shedThenRun_ > 0);
+    BOOST_TEST(totals.runsAfterShed_ > 0);
     BOOST_TEST(totals.refusedByGate_ > 0);
     BOOST_TEST(totals.erasures_ > 0);
     for (const ErrorKind kind : { ErrorKind::AlreadyClaimed, ErrorKind::ClaimStoreUnavailable,
                                   ErrorKind::ClaimUndecided }) {
-        BOOST_TEST(totals.failures_[kind] > 0);
+        BOOST_TEST(totals.errors_[kind] > 0);
     }
 }
--- a/packages/qz_once/tests/randomtable.h
+++ b/packages/qz_once/tests/randomtable.h
@@ -1,4 +1,4 @@
-// A table whose calls meet a random fate at a random time.
+// A table with random faults and delays.
 #pragma once
 
 #include "qz_core/time/manualtimers.h"
@@ -12,8 +12,8 @@
 
 namespace qz {
 
-/// Each call is refused, or carried out and answered, or its answer or the call itself is lost,
-/// or it is carried out long after its answer was given up.
+/// Every call takes a random time. With a given probability it has a fault: it is refused, the call
+/// or its response is lost, or a write takes effect long after its caller received a timeout.
 class RandomTable : public Table
 {
 public:
@@ -23,53 +23,58 @@
     {
     }
 
-    void setFaultShare(double share) { faultShare_ = share; }
-    void setErased(std::function<void(const std::string &)> erased) { erased_ = std::move(erased); }
+    void setFaultProbability(double probability) { faultProbability_ = probability; }
+    /// Sets a function that is called with the key of each erased row.
+    void setErasedHandler(std::function<void(const std::string &)> handler)
+    {
+        erased_ = std::move(handler);
+    }
 
     void read(const std::string &key, ReadDone done) override
     {
-        if (isHit(faultShare_)) {
-            later(drawDelay(),
-                  [done = std::move(done)] { done(failure(ErrorKind::StoreTimeout, "fault")); });
+        if (drawBool(faultProbability_)) {
+            callLater(drawDelay(), [done = std::move(done)] {
+                done(failure(ErrorKind::StoreTimeout, "fault"));
+            });
             return;
         }
-        later(drawDelay(), [this, key, done = std::move(done)] {
-            later(drawDelay(), [done, row = rows_.peek(key)] { done(row); });
+        callLater(drawDelay(), [this, key, done = std::move(done)] {
+            callLater(drawDelay(), [done, row = rows_.peek(key)] { done(row); });
         });
     }
 
     void commit(std::vector<TableWrite> writes, CommitDone done) override
     {
-        if (!isHit(faultShare_)) {
-            later(drawDelay(), [this, writes = std::move(writes), done = std::move(done)] {
-                later(drawDelay(), [done, decision = apply(writes)] { done(decision); });
+        if (!drawBool(faultProbability_)) {
+            callLater(drawDelay(), [this, writes = std::move(writes), done = std::move(done)] {
+                callLater(drawDelay(), [done, decision = apply(writes)] { done(decision); });
             });
             return;
         }
-        if (isHit(0.25)) {
-            later(drawDelay(), [done = std::move(done)] {
+        if (drawBool(0.25)) {
+            callLater(drawDelay(), [done = std::move(done)] {
                 done(failure(ErrorKind::StoreUnavailable, "fault"));
             });
             return;
         }
-        if (isHit(0.7)) {
-            const Duration delay = isHit(0.5) ? drawDelay() : drawDelay() * 40;
-            later(delay, [this, writes = std::move(writes)] { apply(writes); });
+        if (drawBool(0.7)) {
+            const Duration delay = drawBool(0.5) ? drawDelay() : drawDelay() * 40;
+            callLater(delay, [this, writes = std::move(writes)] { apply(writes); });
         }
-        later(drawDelay(),
-              [done = std::move(done)] { done(failure(ErrorKind::StoreTimeout, "fault")); });
+        callLater(drawDelay(),
+                  [done = std::move(done)] { done(failure(ErrorKind::StoreTimeout, "fault")); });
     }
 
-    bool isHit(double share) { return std::bernoulli_distribution(share)(random_); }
+    bool drawBool(double probability) { return std::bernoulli_distribution(probability)(random_); }
 
-    /// Mostly some milliseconds, seldom seconds.
+    /// Returns up to 40 ms, or with a probability of 5 % up to 2 s.
     Duration drawDelay()
     {
-        const int longest = isHit(0.05) ? 2000 : 40;
-        return std::chrono::milliseconds(std::uniform_int_distribution<int>(0, longest)(random_));
+        const int maximum = drawBool(0.05) ? 2000 : 40;
+        return std::chrono::milliseconds(std::uniform_int_distribution<int>(0, maximum)(random_));
     }
 
-    void later(Duration delay, std::function<void()> work)
+    void callLater(Duration delay, std::function<void()> work)
     {
         events_.push_back(timers_.callAfter(delay, std::move(work)));
     }
@@ -91,7 +96,7 @@
     ManualTimers &timers_;
     std::mt19937_64 &random_;
     FakeTable rows_;
-    double faultShare_ = 0;
+    double faultProbability_ = 0;
     std::function<void(const std::string &)> erased_ = [](const std::string &) {};
     std::deque<Timers::HandlePtr> events_;
 };
