--- a/packages/qz_proxy/dispatch/gatedispatcher.cpp
+++ b/packages/qz_proxy/dispatch/gatedispatcher.cpp
@@ -1,4 +1,4 @@
-// Requests between entries and gates.
+// Messages between entries and gates.
 #include "qz_proxy/dispatch/gatedispatcher.h"
 
 #include "qz_core/faults/faultpoint.h"
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// How much longer than the request's own time an entry waits for the gate's word.
-constexpr Duration answerMargin = std::chrono::milliseconds(250);
+/// Time for which an entry waits for the gate's answer after the request's deadline.
+constexpr Duration answerTimeoutMargin = std::chrono::milliseconds(250);
 
 } // namespace
 
@@ -26,23 +26,24 @@
 {
     links_.setHandler(MessageKind::ExecuteRequest,
                       [this](const InstanceId &from, std::string_view payload) {
-                          takeRequest(from, payload);
+                          handleRequest(from, payload);
                       });
     links_.setHandler(MessageKind::ExecuteAnswer,
                       [this](const InstanceId &from, std::string_view payload) {
-                          takeAnswer(from, payload);
+                          handleAnswer(from, payload);
+                      });
+    links_.setHandler(MessageKind::CancelRequest,
+                      [this](const InstanceId & /*from*/, std::string_view payload) {
+                          handleCancel(payload);
                       });
-    links_.setHandler(
-            MessageKind::CancelRequest,
-            [this](const InstanceId & /*from*/, std::string_view payload) { takeCancel(payload); });
     links_.setUnsentHandler([this](const InstanceId & /*to*/, MessageKind kind,
-                                   std::string_view payload) { takeUnsent(kind, payload); });
-    links_.setLinkLostHandler([this](const InstanceId &peer) { loseLink(peer); });
+                                   std::string_view payload) { handleUnsent(kind, payload); });
+    links_.setLinkLostHandler([this](const InstanceId &peer) { handleLinkLost(peer); });
 }
 
 void GateDispatcher::setLinkLostListener(std::function<void(const InstanceId &)> listener)
 {
-    linkLost_ = std::move(listener);
+    linkLostListener_ = std::move(listener);
 }
 
 void GateDispatcher::dispatch(const InstanceId &gate, ExecuteRequest request, Done done)
@@ -62,7 +63,7 @@
     pending.gate_ = gate;
     pending.server_ = request.server_;
     pending.done_ = std::move(done);
-    pending.timeout_ = loop_.callAfter(request.timeLeft_ + answerMargin, [this, requestId] {
+    pending.timeout_ = loop_.callAfter(request.timeLeft_ + answerTimeoutMargin, [this, requestId] {
         fail(requestId, ErrorKind::PeerLinkLost, "the gate did not answer in time");
     });
 }
@@ -74,11 +75,11 @@
         return;
     }
     const CancelRequest message{ requestId, found->second.server_ };
-    // A gate that cannot be told runs the request until its own deadline.
+    // If the message cannot be sent, the gate runs the request until its deadline.
     (void)links_.send(found->second.gate_, MessageKind::CancelRequest, packMessage(message));
 }
 
-void GateDispatcher::takeRequest(const InstanceId &from, std::string_view payload)
+void GateDispatcher::handleRequest(const InstanceId &from, std::string_view payload)
 {
     auto request = unpackMessage<ExecuteRequest>(payload);
     if (request.has_error()) {
@@ -94,7 +95,7 @@
     });
 }
 
-void GateDispatcher::takeAnswer(const InstanceId &from, std::string_view payload)
+void GateDispatcher::handleAnswer(const InstanceId &from, std::string_view payload)
 {
     auto answer = unpackMessage<ExecuteAnswer>(payload);
     if (answer.has_error()) {
@@ -107,13 +108,13 @@
                              [&](const auto &entry) { return entry.second.gate_ == from; });
     }
     if (found == pending_.end() || found->second.gate_ != from) {
-        return; // Too late, or not from whom it was asked.
+        return; // The answer is late, or comes from another instance than the request was sent to.
     }
     const RequestId requestId = found->first;
     finish(requestId, std::move(answer.value()));
 }
 
-void GateDispatcher::takeCancel(std::string_view payload)
+void GateDispatcher::handleCancel(std::string_view payload)
 {
     const auto request = unpackMessage<CancelRequest>(payload);
     if (request.has_value()) {
@@ -121,7 +122,7 @@
     }
 }
 
-void GateDispatcher::takeUnsent(MessageKind kind, std::string_view payload)
+void GateDispatcher::handleUnsent(MessageKind kind, std::string_view payload)
 {
     if (kind != MessageKind::ExecuteRequest) {
         return;
@@ -129,11 +130,11 @@
     const auto request = unpackMessage<ExecuteRequest>(payload);
     if (request.has_value()) {
         fail(request.value().requestId_, ErrorKind::GateUnreachable,
-             "the link to the gate did not open");
+             "could not send the request to the gate's instance");
     }
 }
 
-void GateDispatcher::loseLink(const InstanceId &peer)
+void GateDispatcher::handleLinkLost(const InstanceId &peer)
 {
     std::vector<RequestId> lost;
     for (const auto &[requestId, pending] : pending_) {
@@ -142,10 +143,10 @@
         }
     }
     for (const RequestId &requestId : lost) {
-        fail(requestId, ErrorKind::PeerLinkLost, "the link to the gate was lost");
+        fail(requestId, ErrorKind::PeerLinkLost, "lost the connection to the gate's instance");
     }
-    if (linkLost_) {
-        linkLost_(peer);
+    if (linkLostListener_) {
+        linkLostListener_(peer);
     }
 }
 
--- a/packages/qz_proxy/dispatch/gatedispatcher.h
+++ b/packages/qz_proxy/dispatch/gatedispatcher.h
@@ -1,5 +1,5 @@
-// Carries requests from this entry to gates, here or on other instances, and serves those
-// that other entries send to the gates here.
+// Sends requests to gates on this or other instances, and passes requests of other instances to
+// the gates on this instance.
 #pragma once
 
 #include "qz_fleet/links/peerlinks.h"
@@ -11,33 +11,35 @@
 
 namespace qz {
 
-/// Matches each answer to its request by id and link.
+/// Matches each answer to its request by request id and instance.
 ///
-/// Invariant: a request that was given to a link ends as not run only if the gate says so, or
-/// if the link tells that no byte of it was sent; if the link is lost or the time is up, its
-/// outcome is unknown, and an answer that still comes is dropped.
+/// Invariant: a request that was passed to a link ends as not run only if the gate reports so or
+/// the link reports that no byte of it was sent. If the link is lost or the timeout expires, the
+/// outcome is unknown, and an answer that arrives afterwards is dropped.
 /// @see CallerRequest, GateSet
 class GateDispatcher
 {
 public:
     using Done = std::function<void(ExecuteAnswer)>;
 
-    /// Takes over the links' handlers for execute and cancel messages, for lost links and for
-    /// unsent messages. All parts outlive the dispatcher.
+    /// Sets the handlers of @p links for execute and cancel messages, lost links and unsent
+    /// messages. The referenced objects outlive the dispatcher.
     GateDispatcher(EventLoop &loop, const InstanceId &self, PeerLinks &links, GateSet &gates);
     GateDispatcher(const GateDispatcher &) = delete;
     GateDispatcher &operator=(const GateDispatcher &) = delete;
 
-    /// Sends @p request to the gate on @p gate and calls @p done once, possibly at once.
+    /// Sends @p request to the gate on the instance @p gate. Calls @p done once, possibly before
+    /// this function returns.
     void dispatch(const InstanceId &gate, ExecuteRequest request, Done done);
 
-    /// The caller of @p requestId has gone; done is still called if the gate answers.
+    /// Asks the gate to cancel the request, since its caller disconnected. Its `done` is still
+    /// called. Requests to a gate on this instance are not cancelled.
     void cancel(const RequestId &requestId);
 
-    /// Runs after a link was lost and its requests were settled.
+    /// Sets a function that is called after a link was lost and its pending requests have ended.
     void setLinkLostListener(std::function<void(const InstanceId &)> listener);
 
-    /// Requests sent to other instances and not answered yet.
+    /// Returns the number of requests to other instances that have no answer yet.
     std::size_t pendingCount() const { return pending_.size(); }
 
 private:
@@ -49,11 +51,11 @@
         Timers::HandlePtr timeout_;
     };
 
-    void takeRequest(const InstanceId &from, std::string_view payload);
-    void takeAnswer(const InstanceId &from, std::string_view payload);
-    void takeCancel(std::string_view payload);
-    void takeUnsent(MessageKind kind, std::string_view payload);
-    void loseLink(const InstanceId &peer);
+    void handleRequest(const InstanceId &from, std::string_view payload);
+    void handleAnswer(const InstanceId &from, std::string_view payload);
+    void handleCancel(std::string_view payload);
+    void handleUnsent(MessageKind kind, std::string_view payload);
+    void handleLinkLost(const InstanceId &peer);
     void fail(const RequestId &requestId, ErrorKind kind, const std::string &message);
     void finish(const RequestId &requestId, ExecuteAnswer answer);
 
@@ -62,7 +64,7 @@
     PeerLinks &links_;
     GateSet &gates_;
     std::map<RequestId, Pending> pending_;
-    std::function<void(const InstanceId &)> linkLost_;
+    std::function<void(const InstanceId &)> linkLostListener_;
 };
 
 } // namespace qz
--- a/packages/qz_proxy/entry/callerrequest.cpp
+++ b/packages/qz_proxy/entry/callerrequest.cpp
@@ -1,10 +1,10 @@
-// One caller's request from its arrival to its answer.
+// A request of a caller, from its arrival to its response.
 #include "qz_proxy/entry/callerrequest.h"
 
 #include "qz_core/faults/faultpoint.h"
 #include "qz_core/ids/randomid.h"
 #include "qz_core/logging/logger.h"
-#include "qz_proxy/entry/callerreply.h"
+#include "qz_proxy/entry/callerresponse.h"
 
 #include <algorithm>
 #include <charconv>
@@ -18,10 +18,11 @@
 constexpr const char *deadlineHeader = "Quetzaldale-Deadline-Ms";
 constexpr const char *idempotencyKeyHeader = "Idempotency-Key";
 constexpr const char *defaultWorkspace = "default";
-constexpr std::size_t tryLimit = 4;    ///< Tries that reached a gate, at most.
-constexpr std::size_t gateChoices = 2; ///< Gates of one server that are tried.
-constexpr Duration claimKeepTime = std::chrono::hours(24);
+constexpr std::size_t maxAttempts = 4;       ///< Attempts per request.
+constexpr std::size_t maxGatesPerServer = 2; ///< Gates of one server that are used.
+constexpr Duration claimRetention = std::chrono::hours(24);
 
+/// Returns the time limit in the deadline header, or nullopt if it is missing or invalid.
 std::optional<Duration> readDeadline(const HttpHeaders &headers)
 {
     const auto text = headers.find(deadlineHeader);
@@ -30,16 +31,16 @@
     }
     std::int64_t value = 0;
     const auto [end, error] = std::from_chars(text->data(), text->data() + text->size(), value);
-    constexpr std::int64_t highest = 3'600'000;
+    constexpr std::int64_t maximum = 3'600'000; // One hour.
     if (error != std::errc() || end != text->data() + text->size() || value < 1
-        || value > highest) {
+        || value > maximum) {
         return std::nullopt;
     }
     return std::chrono::milliseconds(value);
 }
 
-/// Whether a failed try cost nobody any work, so that the next one needs no retry token.
-bool isFree(ErrorKind kind)
+/// Returns whether the failed attempt caused no load, so that a retry needs no retry token.
+bool isRetryFree(ErrorKind kind)
 {
     return kind == ErrorKind::GateUnreachable || kind == ErrorKind::NotTheGate
             || kind == ErrorKind::Draining;
@@ -47,41 +48,43 @@
 
 } // namespace
 
-void CallerRequest::start(const EntryContext &parts, std::shared_ptr<HttpExchange> exchange)
+void CallerRequest::start(const EntryContext &context, std::shared_ptr<HttpExchange> exchange)
 {
-    const auto run = std::make_shared<CallerRequest>(parts, std::move(exchange));
-    run->exchange_->setCallerGoneHandler([weak = std::weak_ptr<CallerRequest>(run)] {
-        if (const auto locked = weak.lock()) {
-            locked->cancel();
+    const auto request = std::make_shared<CallerRequest>(context, std::move(exchange));
+    request->exchange_->setCallerGoneHandler([weak = std::weak_ptr<CallerRequest>(request)] {
+        if (const auto self = weak.lock()) {
+            self->cancel();
         }
     });
-    run->begin();
+    request->process();
 }
 
-CallerRequest::CallerRequest(const EntryContext &parts, std::shared_ptr<HttpExchange> exchange)
-    : parts_(parts)
+CallerRequest::CallerRequest(const EntryContext &context, std::shared_ptr<HttpExchange> exchange)
+    : context_(context)
     , exchange_(std::move(exchange))
-    , arrivedAt_(parts.loop_.now())
-    , rules_(parts.fleetState_.rules())
+    , arrivalTime_(context.loop_.now())
+    , rules_(context.fleetState_.rules())
 {
     record_.id_ = RequestId(makeRandomId());
-    record_.rulesVersion_ = parts.fleetState_.rulesVersion();
+    record_.rulesVersion_ = context.fleetState_.rulesVersion();
     const HttpHeaders &headers = exchange_->request().headers_;
     record_.workspace_ = WorkspaceId(headers.find(workspaceHeader).value_or(defaultWorkspace));
-    record_.callerRequestId_ = RequestId(headers.find(replyheader::callerRequestId).value_or(""));
+    record_.callerRequestId_ =
+            RequestId(headers.find(responseheader::callerRequestId).value_or(""));
 }
 
-void CallerRequest::begin()
+void CallerRequest::process()
 {
-    if (!parts_.fleetState_.isInForce()) {
-        fail({ ErrorKind::RulesNotInForce, "this instance cannot tell which rules are in force" });
+    if (!context_.fleetState_.isInForce()) {
+        fail({ ErrorKind::RulesNotInForce,
+               "this instance could not determine which rules are in force" });
         return;
     }
     if (!classify()) {
         return;
     }
     if (kind_->repeatable_ || isFaultInjected(FaultPoint::ClaimSkipped)) {
-        tryNext();
+        attemptNext();
     } else {
         claim();
     }
@@ -94,21 +97,22 @@
     const std::string_view path = target.substr(0, target.find('?'));
     kind_ = rules_->classify({ request.method_, path, record_.workspace_ });
     if (kind_ == nullptr) {
-        fail({ ErrorKind::NoRoute, "no kind of work matches this request" });
+        fail({ ErrorKind::NoRoute, "no kind of work in the rules matches this request" });
         return false;
     }
     record_.kind_ = kind_->name_;
     record_.rank_ = rules_->ranks()[kind_->rank_].name_;
     Duration limit = kind_->deadline_;
     if (request.headers_.find(deadlineHeader)) {
-        const auto asked = readDeadline(request.headers_);
-        if (!asked) {
-            fail({ ErrorKind::BadRequest, std::string(deadlineHeader) + " must be 1 to 3600000" });
+        const auto requested = readDeadline(request.headers_);
+        if (!requested) {
+            fail({ ErrorKind::BadRequest,
+                   std::string(deadlineHeader) + " must be an integer from 1 to 3600000" });
             return false;
         }
-        limit = std::min(limit, *asked);
+        limit = std::min(limit, *requested);
     }
-    deadline_ = arrivedAt_ + limit;
+    deadline_ = arrivalTime_ + limit;
     return true;
 }
 
@@ -116,42 +120,45 @@
 {
     const auto key = exchange_->request().headers_.find(idempotencyKeyHeader);
     if (!key || key->empty()) {
-        fail({ ErrorKind::IdempotencyKeyMissing, "this kind of work needs an Idempotency-Key" });
+        fail({ ErrorKind::IdempotencyKeyMissing,
+               "this kind of work requires an Idempotency-Key header" });
         return;
     }
     const auto self = shared_from_this();
-    parts_.claims_.claim(record_.workspace_, IdempotencyKey(*key), claimKeepTime,
-                         [self](Result<ClaimGrant> grant) {
-                             if (grant.has_error()) {
-                                 self->fail(grant.error());
-                                 return;
-                             }
-                             self->grant_ = std::move(grant.value());
-                             self->deadline_ = std::min(self->deadline_, self->grant_->sendBefore_);
-                             self->tryNext();
-                         });
+    context_.claims_.claim(record_.workspace_, IdempotencyKey(*key), claimRetention,
+                           [self](Result<ClaimGrant> grant) {
+                               if (grant.has_error()) {
+                                   self->fail(grant.error());
+                                   return;
+                               }
+                               self->grant_ = std::move(grant.value());
+                               self->deadline_ =
+                                       std::min(self->deadline_, self->grant_->sendBefore_);
+                               self->attemptNext();
+                           });
 }
 
-void CallerRequest::tryNext()
+void CallerRequest::attemptNext()
 {
     if (isCallerGone_) {
-        fail({ ErrorKind::CallerGone, "the caller has gone" });
+        fail({ ErrorKind::CallerGone, "the caller closed the connection" });
         return;
     }
-    if (parts_.loop_.now() >= deadline_) {
-        fail({ ErrorKind::DeadlineExpiredInQueue, "time was up before a try" });
+    if (context_.loop_.now() >= deadline_) {
+        fail({ ErrorKind::DeadlineExpiredInQueue,
+               "the deadline expired before the request could be sent" });
         return;
     }
     const auto candidates = findCandidates();
     ServerRequest request;
-    request.origin_ = parts_.fleetState_.self().location_;
+    request.origin_ = context_.fleetState_.self().location_;
     request.rank_ = kind_->rank_;
-    request.target_ = arrivedAt_ + rules_->ranks()[kind_->rank_].target_ - parts_.loop_.now();
+    request.target_ = arrivalTime_ + rules_->ranks()[kind_->rank_].target_ - context_.loop_.now();
     if (!candidates.empty()) {
         request.expectedServiceTime_ =
-                parts_.loadReports_.expectedServiceTime(candidates.front().id_);
+                context_.loadReports_.expectedServiceTime(candidates.front().id_);
     }
-    const auto chosen = parts_.chooser_.choose(candidates, request, parts_.random_);
+    const auto chosen = context_.chooser_.choose(candidates, request, context_.random_);
     if (chosen) {
         const BackendServerId server = candidates[*chosen].id_;
         if (const auto gate = gateFor(server)) {
@@ -159,27 +166,28 @@
             return;
         }
     }
-    if (!triedServers_.empty() && gateChoice_ + 1 < gateChoices) {
-        triedServers_.clear();
-        ++gateChoice_;
-        tryNext();
+    if (!attemptedServers_.empty() && gateIndex_ + 1 < maxGatesPerServer) {
+        attemptedServers_.clear();
+        ++gateIndex_;
+        attemptNext();
         return;
     }
-    fail({ ErrorKind::NoBackendServer, "no backend server of this kind can be reached" });
+    fail({ ErrorKind::NoBackendServer, "no backend server is available for this kind of work" });
 }
 
 std::vector<ServerCandidate> CallerRequest::findCandidates() const
 {
-    // A newer rule set may be in force by now; its servers count, with the kind's name.
+    // Servers are selected by the current rules, which may be newer than rules_, and by the name of
+    // the kind.
     std::vector<ServerCandidate> candidates;
-    for (const auto &server : parts_.fleetState_.directory().serversFor(*kind_)) {
-        if (server->isLeaving() || triedServers_.count(server->listed_.id_) > 0) {
+    for (const auto &server : context_.fleetState_.directory().serversFor(*kind_)) {
+        if (server->isLeaving() || attemptedServers_.count(server->listed_.id_) > 0) {
             continue;
         }
         ServerCandidate candidate;
         candidate.id_ = server->listed_.id_;
         candidate.location_ = server->listed_.location_;
-        parts_.loadReports_.fillCandidate(candidate, parts_.loop_.now());
+        context_.loadReports_.fillCandidate(candidate, context_.loop_.now());
         candidates.push_back(std::move(candidate));
     }
     return candidates;
@@ -187,22 +195,22 @@
 
 std::optional<InstanceId> CallerRequest::gateFor(const BackendServerId &server) const
 {
-    const auto found = parts_.fleetState_.directory().find(server);
+    const auto found = context_.fleetState_.directory().find(server);
     if (found == nullptr) {
         return std::nullopt;
     }
-    const auto &gates = parts_.fleetState_.gateMap().gatesOf(found->listed_);
-    if (gateChoice_ >= gates.size()) {
+    const auto &gates = context_.fleetState_.gateMap().gatesOf(found->listed_);
+    if (gateIndex_ >= gates.size()) {
         return std::nullopt;
     }
-    return gates[gateChoice_];
+    return gates[gateIndex_];
 }
 
 ExecuteRequest CallerRequest::makeExecuteRequest(const BackendServerId &server) const
 {
     const HttpRequest &request = exchange_->request();
     ExecuteRequest message;
-    message.requestId_ = tryId_;
+    message.requestId_ = attemptId_;
     message.server_ = server;
     message.kind_ = kind_->name_;
     message.rank_ = kind_->rank_;
@@ -210,7 +218,7 @@
     message.weight_ = rules_->workspaceWeight(record_.workspace_);
     message.worth_ = kind_->worth_;
     message.repeatable_ = kind_->repeatable_;
-    message.timeLeft_ = deadline_ - parts_.loop_.now();
+    message.timeLeft_ = deadline_ - context_.loop_.now();
     message.method_ = request.method_;
     message.target_ = request.target_;
     message.headers_ = toFields(request.headers_);
@@ -220,29 +228,30 @@
 
 void CallerRequest::dispatch(const BackendServerId &server, const InstanceId &gate)
 {
-    triedServers_.insert(server);
-    tryId_ = RequestId(record_.id_.value() + "-" + std::to_string(record_.attempts_.size() + 1));
+    attemptedServers_.insert(server);
+    attemptId_ =
+            RequestId(record_.id_.value() + "-" + std::to_string(record_.attempts_.size() + 1));
     record_.attempts_.push_back({ server, gate, {}, {} });
-    const TimePoint sentAt = parts_.loop_.now();
-    parts_.dispatcher_.dispatch(gate, makeExecuteRequest(server),
-                                [self = shared_from_this(), sentAt](ExecuteAnswer answer) {
-                                    self->takeAnswer(std::move(answer), sentAt);
-                                });
+    const TimePoint sentAt = context_.loop_.now();
+    context_.dispatcher_.dispatch(gate, makeExecuteRequest(server),
+                                  [self = shared_from_this(), sentAt](ExecuteAnswer answer) {
+                                      self->handleAnswer(std::move(answer), sentAt);
+                                  });
 }
 
-void CallerRequest::takeAnswer(ExecuteAnswer answer, TimePoint sentAt)
+void CallerRequest::handleAnswer(ExecuteAnswer answer, TimePoint sentAt)
 {
-    RequestAttempt &last = record_.attempts_.back();
-    last.took_ = parts_.loop_.now() - sentAt;
-    last.result_ = answer.errorKind_.empty() ? "answered" : answer.errorKind_;
+    RequestAttempt &attempt = record_.attempts_.back();
+    attempt.took_ = context_.loop_.now() - sentAt;
+    attempt.result_ = answer.errorKind_.empty() ? "answered" : answer.errorKind_;
     if (answer.loadReport_.slots_ > 0 && !answer.loadReport_.waitByRank_.empty()) {
-        parts_.loadReports_.record(answer.server_, answer.loadReport_, parts_.loop_.now());
+        context_.loadReports_.record(answer.server_, answer.loadReport_, context_.loop_.now());
     }
     auto result = toResult(std::move(answer));
     if (result.has_value()) {
         succeed(std::move(result.value()));
     } else if (mayRetry(result.error())) {
-        tryNext();
+        attemptNext();
     } else {
         fail(result.error());
     }
@@ -250,59 +259,59 @@
 
 bool CallerRequest::mayRetry(const Error &error)
 {
-    const ErrorAnswer &meaning = answerOf(error.kind_);
-    const bool isUnknown = meaning.outcome_ == Outcome::Unknown;
-    isUnknown_ = isUnknown_ || isUnknown;
-    const bool isAllowed = isUnknown ? kind_->repeatable_ : meaning.retryInFleet_;
-    if (!isAllowed || isCallerGone_ || record_.attempts_.size() >= tryLimit) {
+    const ErrorAnswer &answer = answerOf(error.kind_);
+    const bool isUnknown = answer.outcome_ == Outcome::Unknown;
+    hasUnknownOutcome_ = hasUnknownOutcome_ || isUnknown;
+    const bool isAllowed = isUnknown ? kind_->repeatable_ : answer.retryInFleet_;
+    if (!isAllowed || isCallerGone_ || record_.attempts_.size() >= maxAttempts) {
         return false;
     }
-    return isFree(error.kind_) || parts_.retries_.tryAcquire(parts_.loop_.now());
+    return isRetryFree(error.kind_) || context_.retryBudget_.tryAcquire(context_.loop_.now());
 }
 
 void CallerRequest::cancel()
 {
     isCallerGone_ = true;
-    if (!tryId_.isEmpty()) {
-        parts_.dispatcher_.cancel(tryId_);
+    if (!attemptId_.isEmpty()) {
+        context_.dispatcher_.cancel(attemptId_);
     }
 }
 
 void CallerRequest::fail(const Error &error)
 {
-    const Outcome outcome = isUnknown_ ? Outcome::Unknown : answerOf(error.kind_).outcome_;
-    settle(outcome == Outcome::NotRun ? ClaimResult::NotRun : ClaimResult::Unknown);
+    const Outcome outcome = hasUnknownOutcome_ ? Outcome::Unknown : answerOf(error.kind_).outcome_;
+    reportClaimResult(outcome == Outcome::NotRun ? ClaimResult::NotRun : ClaimResult::Unknown);
     record_.cause_ = toString(error.kind_);
     record_.message_ = error.message_;
-    record(outcome);
-    exchange_->reply(makeErrorReply(error.kind_, record_, parts_.fleetState_.self().id_));
+    recordOutcome(outcome);
+    exchange_->reply(makeErrorResponse(error.kind_, record_, context_.fleetState_.self().id_));
 }
 
 void CallerRequest::succeed(HttpResponse response)
 {
-    settle(ClaimResult::Ran);
-    parts_.retries_.recordSuccess();
-    record(Outcome::Answered);
+    reportClaimResult(ClaimResult::Ran);
+    context_.retryBudget_.recordSuccess();
+    recordOutcome(Outcome::Answered);
     exchange_->reply(
-            makeAnsweredReply(std::move(response), record_, parts_.fleetState_.self().id_));
+            makeSuccessResponse(std::move(response), record_, context_.fleetState_.self().id_));
 }
 
-void CallerRequest::record(Outcome outcome)
+void CallerRequest::recordOutcome(Outcome outcome)
 {
     record_.outcome_ = toString(outcome);
-    record_.took_ = parts_.loop_.now() - arrivedAt_;
+    record_.took_ = context_.loop_.now() - arrivalTime_;
     const LogLevel level = outcome == Outcome::Answered ? LogLevel::Debug : LogLevel::Info;
     if (isLogged(level)) {
         log(level, "request", record_.toJson());
     }
-    parts_.metrics_.record(record_);
-    parts_.journal_.add(record_);
+    context_.metrics_.record(record_);
+    context_.journal_.add(record_);
 }
 
-void CallerRequest::settle(ClaimResult result)
+void CallerRequest::reportClaimResult(ClaimResult result)
 {
     if (grant_) {
-        parts_.claims_.settle(*grant_, result);
+        context_.claims_.reportResult(*grant_, result);
         grant_.reset();
     }
 }
--- a/packages/qz_proxy/entry/callerrequest.h
+++ b/packages/qz_proxy/entry/callerrequest.h
@@ -1,4 +1,4 @@
-// One caller's request from its arrival to its answer.
+// A request of a caller, from its arrival to its response.
 #pragma once
 
 #include "qz_entries/choice/serverchooser.h"
@@ -18,7 +18,7 @@
 
 namespace qz {
 
-/// What the requests of one instance share. All members outlive every request.
+/// Objects that all requests of one instance share. They outlive every request.
 struct EntryContext
 {
     EventLoop &loop_;
@@ -26,59 +26,59 @@
     GateDispatcher &dispatcher_;
     ClaimClient &claims_;
     GateLoadReports &loadReports_;
-    RetryBudget &retries_;
+    RetryBudget &retryBudget_;
     const ServerChooser &chooser_;
     std::mt19937_64 &random_;
     RequestJournal &journal_;
     ProxyMetrics &metrics_;
 };
 
-/// Classifies a request by the rules in force at its arrival, claims its key if it may not be
-/// repeated, and tries backend servers until one answers or no further try is allowed.
+/// Classifies a request by the rules in force at its arrival, claims its key if it is not
+/// repeatable, and sends it to backend servers until one responds or no further attempt is allowed.
 ///
-/// Invariants: a request that may not be repeated is sent only under a grant, and again only
-/// after a try that was not run. The caller is told the outcome of the last try, and "not
-/// run" only if no try had another outcome.
+/// Invariants: a non-repeatable request is sent only under a grant, and again only after an
+/// attempt that did not run. The caller receives the outcome of the last attempt, and "not run"
+/// only if no attempt had another outcome.
 /// @see GateDispatcher, ClaimClient
 class CallerRequest : public std::enable_shared_from_this<CallerRequest>
 {
 public:
-    /// Takes over @p exchange; the run keeps itself alive until it has answered.
-    static void start(const EntryContext &parts, std::shared_ptr<HttpExchange> exchange);
+    /// Handles @p exchange. The created object keeps itself alive until it has responded.
+    static void start(const EntryContext &context, std::shared_ptr<HttpExchange> exchange);
 
-    CallerRequest(const EntryContext &parts, std::shared_ptr<HttpExchange> exchange);
+    CallerRequest(const EntryContext &context, std::shared_ptr<HttpExchange> exchange);
     CallerRequest(const CallerRequest &) = delete;
     CallerRequest &operator=(const CallerRequest &) = delete;
 
 private:
-    void begin();
+    void process();
     bool classify();
     void claim();
-    void tryNext();
+    void attemptNext();
     std::vector<ServerCandidate> findCandidates() const;
     std::optional<InstanceId> gateFor(const BackendServerId &server) const;
     ExecuteRequest makeExecuteRequest(const BackendServerId &server) const;
     void dispatch(const BackendServerId &server, const InstanceId &gate);
-    void takeAnswer(ExecuteAnswer answer, TimePoint sentAt);
+    void handleAnswer(ExecuteAnswer answer, TimePoint sentAt);
     bool mayRetry(const Error &error);
     void cancel();
     void fail(const Error &error);
     void succeed(HttpResponse response);
-    void record(Outcome outcome);
-    void settle(ClaimResult result);
+    void recordOutcome(Outcome outcome);
+    void reportClaimResult(ClaimResult result);
 
-    const EntryContext parts_;
+    const EntryContext context_;
     const std::shared_ptr<HttpExchange> exchange_;
-    const TimePoint arrivedAt_;
-    std::shared_ptr<const RuleSet> rules_; ///< Those at arrival, to the end.
-    const WorkKind *kind_ = nullptr;       ///< Of rules_.
+    const TimePoint arrivalTime_;
+    std::shared_ptr<const RuleSet> rules_; ///< The rules at arrival; used until the end.
+    const WorkKind *kind_ = nullptr;       ///< Points into rules_.
     TimePoint deadline_;
-    std::optional<ClaimGrant> grant_; ///< Set while a claim is held and not settled.
-    std::set<BackendServerId> triedServers_;
-    std::size_t gateChoice_ = 0; ///< Which gate of a server is used: 0 is the first.
-    RequestId tryId_;            ///< Of the try under way.
+    std::optional<ClaimGrant> grant_; ///< Set until the result of the claim is reported.
+    std::set<BackendServerId> attemptedServers_;
+    std::size_t gateIndex_ = 0; ///< Index of the gate to use among a server's gates.
+    RequestId attemptId_;       ///< Of the last attempt.
     RequestRecord record_;
-    bool isUnknown_ = false; ///< A try of a repeatable request ended as unknown.
+    bool hasUnknownOutcome_ = false; ///< An attempt had the outcome "unknown".
     bool isCallerGone_ = false;
 };
 
--- a/packages/qz_proxy/entry/entryservice.cpp
+++ b/packages/qz_proxy/entry/entryservice.cpp
@@ -1,4 +1,4 @@
-// Serves callers.
+// Handles the exchanges of callers.
 #include "qz_proxy/entry/entryservice.h"
 
 #include "qz_http/messages/querystring.h"
@@ -11,18 +11,18 @@
 
 constexpr std::string_view addressesPath = "/quetzaldale/addresses";
 
-EntryDirectory::Limits makeLimits(Duration addressKeepTime)
+EntryDirectory::Limits makeLimits(Duration addressTimeToLive)
 {
     EntryDirectory::Limits limits;
-    limits.timeToLive_ = addressKeepTime;
+    limits.timeToLive_ = addressTimeToLive;
     return limits;
 }
 
 } // namespace
 
-EntryService::EntryService(const EntryContext &parts, Duration addressKeepTime)
-    : parts_(parts)
-    , directory_(makeLimits(addressKeepTime))
+EntryService::EntryService(const EntryContext &context, Duration addressTimeToLive)
+    : context_(context)
+    , directory_(makeLimits(addressTimeToLive))
 {
 }
 
@@ -30,24 +30,25 @@
 {
     const std::string_view target = exchange->request().target_;
     if (target.substr(0, target.find('?')) == addressesPath) {
-        answerAddresses(*exchange);
+        replyAddresses(*exchange);
         return;
     }
-    CallerRequest::start(parts_, exchange);
+    CallerRequest::start(context_, exchange);
 }
 
 std::string EntryService::addressesFor(const AddressQuery &query) const
 {
     std::vector<EntryMember> entries;
-    for (const Member &member : parts_.fleetState_.members()) {
+    for (const Member &member : context_.fleetState_.members()) {
         const bool isLeaving = member.state_ == MemberState::Leaving
-                || (member.id_ == parts_.fleetState_.self().id_ && parts_.fleetState_.isLeaving());
+                || (member.id_ == context_.fleetState_.self().id_
+                    && context_.fleetState_.isLeaving());
         entries.push_back({ member.id_, member.location_, member.callerEndpoint_, isLeaving });
     }
     return directory_.addressesFor(query, entries).toJson().dump() + "\n";
 }
 
-void EntryService::answerAddresses(HttpExchange &exchange) const
+void EntryService::replyAddresses(HttpExchange &exchange) const
 {
     const QueryString parameters(exchange.request().target_);
     AddressQuery query;
--- a/packages/qz_proxy/entry/entryservice.h
+++ b/packages/qz_proxy/entry/entryservice.h
@@ -1,4 +1,4 @@
-// Serves callers: their requests, and the addresses they should use.
+// Serves callers: handles their requests and returns the addresses that they should use.
 #pragma once
 
 #include "qz_entries/directory/entrydirectory.h"
@@ -9,26 +9,26 @@
 
 namespace qz {
 
-/// Handles every exchange that is not an operator's. Paths under /quetzaldale/ are its own:
-/// /quetzaldale/addresses answers which addresses to use. All others are work.
+/// Handles every exchange except those of OperatorService. /quetzaldale/addresses returns the
+/// addresses that the caller should use; any other path is a request for a backend server.
 /// @see CallerRequest, EntryDirectory, OperatorService
 class EntryService
 {
 public:
-    /// Callers are told to keep an address for @p addressKeepTime.
-    EntryService(const EntryContext &parts, Duration addressKeepTime);
+    /// @p addressTimeToLive: time for which callers should use a returned address.
+    EntryService(const EntryContext &context, Duration addressTimeToLive);
     EntryService(const EntryService &) = delete;
     EntryService &operator=(const EntryService &) = delete;
 
     void handle(const std::shared_ptr<HttpExchange> &exchange);
 
-    /// The addresses for a caller, as JSON text.
+    /// Returns the addresses for a caller as JSON text.
     std::string addressesFor(const AddressQuery &query) const;
 
 private:
-    void answerAddresses(HttpExchange &exchange) const;
+    void replyAddresses(HttpExchange &exchange) const;
 
-    const EntryContext parts_;
+    const EntryContext context_;
     const EntryDirectory directory_;
 };
 
--- a/packages/qz_proxy/entry/gateloadreports.cpp
+++ b/packages/qz_proxy/entry/gateloadreports.cpp
@@ -1,14 +1,14 @@
-// What this entry last heard of each gate's queue.
+// The last load report of each gate.
 #include "qz_proxy/entry/gateloadreports.h"
 
 namespace qz {
 
-void GateLoadReports::record(const BackendServerId &server, const GateLoadReport &digest,
+void GateLoadReports::record(const BackendServerId &server, const GateLoadReport &report,
                              TimePoint now)
 {
     Entry &entry = entries_[server];
-    entry.digest_ = digest;
-    entry.at_ = now;
+    entry.report_ = report;
+    entry.receivedAt_ = now;
 }
 
 void GateLoadReports::fillCandidate(ServerCandidate &candidate, TimePoint now) const
@@ -18,16 +18,16 @@
         return;
     }
     const Entry &entry = found->second;
-    const Duration age = now - entry.at_;
-    if (age > digestLifetime) {
+    const Duration age = now - entry.receivedAt_;
+    if (age > maxReportAge) {
         return;
     }
-    candidate.weight_ = entry.digest_.weight_;
+    candidate.weight_ = entry.report_.weight_;
     QueueDigest queue;
-    queue.queued_ = entry.digest_.queued_;
-    queue.running_ = entry.digest_.running_;
-    queue.slots_ = entry.digest_.slots_;
-    queue.waitByRank_ = entry.digest_.waitByRank_;
+    queue.queued_ = entry.report_.queued_;
+    queue.running_ = entry.report_.running_;
+    queue.slots_ = entry.report_.slots_;
+    queue.waitByRank_ = entry.report_.waitByRank_;
     queue.age_ = age;
     candidate.digest_ = queue;
 }
@@ -35,7 +35,7 @@
 Duration GateLoadReports::expectedServiceTime(const BackendServerId &server) const
 {
     const auto found = entries_.find(server);
-    return found == entries_.end() ? Duration::zero() : found->second.digest_.expectedServiceTime_;
+    return found == entries_.end() ? Duration::zero() : found->second.report_.expectedServiceTime_;
 }
 
 } // namespace qz
--- a/packages/qz_proxy/entry/gateloadreports.h
+++ b/packages/qz_proxy/entry/gateloadreports.h
@@ -1,4 +1,4 @@
-// What this entry last heard of each gate's queue.
+// The last load report of each gate.
 #pragma once
 
 #include "qz_entries/choice/servercandidate.h"
@@ -8,26 +8,27 @@
 
 namespace qz {
 
-/// Remembers the digest that each answer of a gate carries.
+/// Stores the load report in the last answer from the gate of each backend server.
 class GateLoadReports
 {
 public:
-    void record(const BackendServerId &server, const GateLoadReport &digest, TimePoint now);
+    /// Stores the report that arrived at @p now.
+    void record(const BackendServerId &server, const GateLoadReport &report, TimePoint now);
 
-    /// Fills what is known of the server into @p candidate.
+    /// Adds the server's weight and queue to @p candidate if the report is recent enough.
     void fillCandidate(ServerCandidate &candidate, TimePoint now) const;
 
-    /// The expected time in a slot at @p server; zero if unknown.
+    /// Returns the expected service time of a request at @p server; zero if unknown.
     Duration expectedServiceTime(const BackendServerId &server) const;
 
 private:
-    /// A digest older than this says nothing of the queue any more.
-    static constexpr Duration digestLifetime = std::chrono::seconds(5);
+    /// The queue may have changed entirely since an older report.
+    static constexpr Duration maxReportAge = std::chrono::seconds(5);
 
     struct Entry
     {
-        GateLoadReport digest_;
-        TimePoint at_;
+        GateLoadReport report_;
+        TimePoint receivedAt_;
     };
 
     std::unordered_map<BackendServerId, Entry> entries_;
--- a/packages/qz_proxy/observability/proxymetrics.cpp
+++ b/packages/qz_proxy/observability/proxymetrics.cpp
@@ -1,4 +1,4 @@
-// Prometheus metrics of the callers' side.
+// Prometheus metrics of requests from callers.
 #include "qz_proxy/observability/proxymetrics.h"
 
 #include <prometheus/text_serializer.h>
@@ -43,8 +43,8 @@
                    { "cause", record.cause_ },
                    { "rank", record.rank_ } })
             .Increment();
-    for (const RequestAttempt &one : record.attempts_) {
-        attempts_.Add({ { "result", one.result_ } }).Increment();
+    for (const RequestAttempt &attempt : record.attempts_) {
+        attempts_.Add({ { "result", attempt.result_ } }).Increment();
     }
     const double seconds = std::chrono::duration<double>(record.took_).count();
     seconds_.Add({ { "rank", record.rank_ } }, latencyBounds).Observe(seconds);
--- a/packages/qz_proxy/observability/proxymetrics.h
+++ b/packages/qz_proxy/observability/proxymetrics.h
@@ -1,4 +1,4 @@
-// Prometheus metrics of the callers' side.
+// Prometheus metrics of requests from callers.
 #pragma once
 
 #include "qz_core/time/clock.h"
@@ -13,8 +13,8 @@
 
 namespace qz {
 
-/// Counts requests by outcome, cause and rank, and how long they took. The text is served by
-/// the instance itself; no thread of prometheus-cpp runs.
+/// Counts requests by outcome, cause and rank, and measures their duration. OperatorService serves
+/// the text; no HTTP server or thread of prometheus-cpp runs.
 class ProxyMetrics
 {
 public:
@@ -26,7 +26,7 @@
     void setRulesVersion(RulesVersion version);
     void setMemberCount(std::size_t count);
 
-    /// The text form of Prometheus.
+    /// Returns the metrics in the Prometheus text format.
     std::string format() const;
 
 private:
--- a/packages/qz_proxy/observability/requestjournal.cpp
+++ b/packages/qz_proxy/observability/requestjournal.cpp
@@ -1,4 +1,4 @@
-// The last requests that this instance answered.
+// Records of the last requests that this instance served.
 #include "qz_proxy/observability/requestjournal.h"
 
 #include <utility>
@@ -16,12 +16,12 @@
 
 nlohmann::json RequestRecord::toJson() const
 {
-    nlohmann::json tries = nlohmann::json::array();
-    for (const RequestAttempt &one : attempts_) {
-        tries.push_back({ { "server", one.server_.value() },
-                          { "gate", one.gate_.value() },
-                          { "result", one.result_ },
-                          { "took_us", toMicroseconds(one.took_) } });
+    nlohmann::json attempts = nlohmann::json::array();
+    for (const RequestAttempt &attempt : attempts_) {
+        attempts.push_back({ { "server", attempt.server_.value() },
+                             { "gate", attempt.gate_.value() },
+                             { "result", attempt.result_ },
+                             { "took_us", toMicroseconds(attempt.took_) } });
     }
     return { { "request", id_.value() },
              { "caller_request", callerRequestId_.value() },
@@ -29,7 +29,7 @@
              { "kind", kind_ },
              { "rank", rank_ },
              { "rules_version", rulesVersion_ },
-             { "tries", tries },
+             { "tries", attempts },
              { "outcome", outcome_ },
              { "cause", cause_ },
              { "message", message_ },
--- a/packages/qz_proxy/observability/requestjournal.h
+++ b/packages/qz_proxy/observability/requestjournal.h
@@ -1,4 +1,4 @@
-// The last requests that this instance answered, for `quetzalctl requests explain`.
+// Records of the last requests that this instance served, for `quetzalctl requests explain`.
 #pragma once
 
 #include "qz_core/ids/ids.h"
@@ -14,7 +14,7 @@
 
 namespace qz {
 
-/// One try of a request at one backend server.
+/// One attempt to send a request to a backend server.
 struct RequestAttempt
 {
     BackendServerId server_;
@@ -23,11 +23,11 @@
     Duration took_{};
 };
 
-/// What became of a request, and why.
+/// The outcome of a request, its cause and its attempts.
 struct RequestRecord
 {
     RequestId id_;
-    RequestId callerRequestId_; ///< As the caller named it; empty if it did not.
+    RequestId callerRequestId_; ///< The caller's X-Request-Id; empty if absent.
     WorkspaceId workspace_;
     std::string kind_;
     std::string rank_;
@@ -41,10 +41,11 @@
     nlohmann::json toJson() const;
 };
 
-/// A bounded list of records; the oldest go first.
+/// Stores a limited number of records; removes the oldest ones.
 class RequestJournal
 {
 public:
+    /// @p limit: maximum number of records.
     explicit RequestJournal(std::size_t limit)
         : limit_(limit)
     {
@@ -55,7 +56,7 @@
 
 private:
     const std::size_t limit_;
-    std::deque<RequestId> order_; ///< Never more than limit_, and the keys of records_.
+    std::deque<RequestId> order_; ///< The keys of records_ by age; at most limit_.
     std::unordered_map<RequestId, RequestRecord> records_;
 };
 
--- a/packages/qz_proxy/operators/operatorservice.cpp
+++ b/packages/qz_proxy/operators/operatorservice.cpp
@@ -1,4 +1,4 @@
-// The endpoints for operators and for metrics.
+// The HTTP endpoints for operators and metrics.
 #include "qz_proxy/operators/operatorservice.h"
 
 #include <openssl/crypto.h>
@@ -15,7 +15,7 @@
 constexpr std::string_view requestsPrefix = "/operator/requests/";
 constexpr int statusOk = 200;
 
-std::string pathOf(const std::string &target)
+std::string pathWithoutQuery(const std::string &target)
 {
     return target.substr(0, target.find('?'));
 }
@@ -42,10 +42,10 @@
               { { "error", toString(error.kind_) }, { "message", error.message_ } });
 }
 
-OperatorService::OperatorService(std::string token, const FleetState &view,
+OperatorService::OperatorService(std::string token, const FleetState &fleetState,
                                  const RequestJournal &journal, const ProxyMetrics &metrics)
     : token_(std::move(token))
-    , fleetState_(view)
+    , fleetState_(fleetState)
     , journal_(journal)
     , metrics_(metrics)
 {
@@ -53,12 +53,12 @@
 
 bool OperatorService::isOperatorPath(const std::string &target)
 {
-    return startsWith(target, operatorPrefix) || pathOf(target) == metricsPath;
+    return startsWith(target, operatorPrefix) || pathWithoutQuery(target) == metricsPath;
 }
 
 void OperatorService::handle(const std::shared_ptr<HttpExchange> &exchange) const
 {
-    const std::string path = pathOf(exchange->request().target_);
+    const std::string path = pathWithoutQuery(exchange->request().target_);
     if (path == metricsPath) {
         HttpResponse response;
         response.headers_.add("Content-Type", "text/plain; version=0.0.4");
@@ -89,8 +89,8 @@
         rulesHandler_(exchange);
     } else if (path == "/operator/status" && statusHandler_) {
         statusHandler_(exchange);
-    } else if (path == "/operator/dump" && dump_) {
-        replyJson(*exchange, statusOk, dump_());
+    } else if (path == "/operator/dump" && dumpProvider_) {
+        replyJson(*exchange, statusOk, dumpProvider_());
     } else if (path == "/operator/backends") {
         replyJson(*exchange, statusOk, backends());
     } else if (path == "/operator/instances") {
@@ -98,7 +98,7 @@
     } else if (startsWith(path, requestsPrefix)) {
         explain(path.substr(requestsPrefix.size()), *exchange);
     } else {
-        replyError(*exchange, { ErrorKind::NotFound, "no such operator path" });
+        replyError(*exchange, { ErrorKind::NotFound, "unknown operator path" });
     }
 }
 
@@ -136,8 +136,7 @@
 {
     const auto record = journal_.find(RequestId(id));
     if (!record) {
-        replyError(exchange,
-                   { ErrorKind::NotFound, "this instance does not remember that request" });
+        replyError(exchange, { ErrorKind::NotFound, "this instance has no record of the request" });
         return;
     }
     replyJson(exchange, statusOk, record->toJson());
--- a/packages/qz_proxy/operators/operatorservice.h
+++ b/packages/qz_proxy/operators/operatorservice.h
@@ -1,4 +1,4 @@
-// The endpoints for operators and for metrics.
+// The HTTP endpoints for operators and metrics.
 #pragma once
 
 #include "qz_http/server/httpexchange.h"
@@ -14,28 +14,31 @@
 
 namespace qz {
 
-/// Serves /metrics to anybody and the paths under /operator/ to whoever shows the token.
-/// The token is compared in constant time and is never logged or dumped.
+/// Serves /metrics without authorization, and the paths under /operator/ to requests with the
+/// operator token. The token is compared in constant time, and is never logged or dumped.
 class OperatorService
 {
 public:
-    /// Called with an exchange whose token was good; answers it.
+    /// Responds to an authorized exchange.
     using Handler = std::function<void(const std::shared_ptr<HttpExchange> &)>;
 
-    OperatorService(std::string token, const FleetState &view, const RequestJournal &journal,
+    OperatorService(std::string token, const FleetState &fleetState, const RequestJournal &journal,
                     const ProxyMetrics &metrics);
     OperatorService(const OperatorService &) = delete;
     OperatorService &operator=(const OperatorService &) = delete;
 
-    /// Whether this path belongs to operators.
+    /// Returns whether this service handles @p target: /metrics or a path under /operator/.
     static bool isOperatorPath(const std::string &target);
 
     void handle(const std::shared_ptr<HttpExchange> &exchange) const;
 
-    /// Sets what GET /operator/dump answers.
-    void setDumpProvider(std::function<nlohmann::json()> dump) { dump_ = std::move(dump); }
+    /// Sets the function that provides the JSON body for /operator/dump.
+    void setDumpProvider(std::function<nlohmann::json()> provider)
+    {
+        dumpProvider_ = std::move(provider);
+    }
 
-    /// Sets what GET and PUT /operator/rules and GET /operator/status do.
+    /// Set the handlers of /operator/rules and /operator/status.
     void setRulesHandler(Handler handler) { rulesHandler_ = std::move(handler); }
     void setStatusHandler(Handler handler) { statusHandler_ = std::move(handler); }
 
@@ -50,15 +53,15 @@
     const FleetState &fleetState_;
     const RequestJournal &journal_;
     const ProxyMetrics &metrics_;
-    std::function<nlohmann::json()> dump_;
+    std::function<nlohmann::json()> dumpProvider_;
     Handler rulesHandler_;
     Handler statusHandler_;
 };
 
-/// Answers @p exchange with JSON.
+/// Sends a JSON response.
 void replyJson(HttpExchange &exchange, int status, const nlohmann::json &body);
 
-/// Answers @p exchange with the status of an error and its name and message as JSON.
+/// Sends the HTTP status of @p error, with its name and message as JSON.
 void replyError(HttpExchange &exchange, const Error &error);
 
 } // namespace qz
--- a/packages/qz_proxy/qz_proxy.h
+++ b/packages/qz_proxy/qz_proxy.h
@@ -1,6 +1,6 @@
 // Package:      qz_proxy
-// Purpose:      the callers' side of an instance: takes requests, sends them to gates, retries,
-//               answers; and the endpoints for operators.
+// Purpose:      the part of an instance that serves callers: sends their requests to gates,
+//               retries and responds; also the endpoints for operators.
 // Dependencies: all other packages, prometheus-cpp
 #pragma once
 
--- a/packages/qz_proxy/state/fleetstate.cpp
+++ b/packages/qz_proxy/state/fleetstate.cpp
@@ -1,4 +1,4 @@
-// What this instance works by at the moment.
+// The rules, members and backend servers that this instance currently uses.
 #include "qz_proxy/state/fleetstate.h"
 
 #include "qz_core/faults/faultpoint.h"
@@ -16,10 +16,10 @@
 void FleetState::adoptRules(RulesVersion version, std::shared_ptr<const RuleSet> rules)
 {
     const bool isFrozen = rules_ != nullptr && isFaultInjected(FaultPoint::RulesFrozen);
-    if (version <= version_ || isFrozen) {
+    if (version <= rulesVersion_ || isFrozen) {
         return;
     }
-    version_ = version;
+    rulesVersion_ = version;
     rules_ = std::move(rules);
     directory_.setRules(rules_);
 }
--- a/packages/qz_proxy/state/fleetstate.h
+++ b/packages/qz_proxy/state/fleetstate.h
@@ -1,4 +1,4 @@
-// What this instance works by at the moment: rules, members, backend servers.
+// The rules, members and backend servers that this instance currently uses.
 #pragma once
 
 #include "qz_fleet/membership/member.h"
@@ -11,8 +11,8 @@
 
 namespace qz {
 
-/// One place for the state that several duties read. Its writers are the drivers of rules and
-/// membership; each change replaces a part whole.
+/// State that several components share for reading. The components for rules, membership and the
+/// listing of backend servers update it; each update replaces its part as a whole.
 class FleetState
 {
 public:
@@ -20,19 +20,20 @@
     FleetState(const FleetState &) = delete;
     FleetState &operator=(const FleetState &) = delete;
 
-    /// Invariant: the version only rises. A lower or equal one is ignored.
+    /// Replaces the rules if @p version is higher than the current one; ignores them otherwise.
     void adoptRules(RulesVersion version, std::shared_ptr<const RuleSet> rules);
     void setMembers(std::vector<Member> members);
     void setListing(std::vector<ListedBackendServer> servers);
     void setLeaving() { self_.state_ = MemberState::Leaving; }
 
-    /// Sets the test that tells whether new work may be taken under the rules.
-    void setInForceCheck(std::function<bool()> test) { isInForce_ = std::move(test); }
+    /// Sets the function that returns whether new requests may be accepted under the rules.
+    void setInForceCheck(std::function<bool()> check) { inForceCheck_ = std::move(check); }
 
-    bool isInForce() const { return rules_ != nullptr && isInForce_ && isInForce_(); }
+    /// Returns whether there are rules and the check confirms that they are in force.
+    bool isInForce() const { return rules_ != nullptr && inForceCheck_ && inForceCheck_(); }
     bool isLeaving() const { return self_.state_ == MemberState::Leaving; }
     const Member &self() const { return self_; }
-    RulesVersion rulesVersion() const { return version_; }
+    RulesVersion rulesVersion() const { return rulesVersion_; }
     const std::shared_ptr<const RuleSet> &rules() const { return rules_; }
     const std::vector<Member> &members() const { return members_; }
     const BackendDirectory &directory() const { return directory_; }
@@ -40,10 +41,10 @@
 
 private:
     Member self_;
-    RulesVersion version_ = 0; ///< Never falls.
+    RulesVersion rulesVersion_ = 0; ///< Never decreases.
     std::shared_ptr<const RuleSet> rules_;
-    std::function<bool()> isInForce_;
-    std::vector<Member> members_; ///< Live and leaving ones, this instance among them.
+    std::function<bool()> inForceCheck_;
+    std::vector<Member> members_; ///< Live and leaving ones, including this instance.
     BackendDirectory directory_;
     GateMap gateMap_;
 };
