--- a/packages/qz_entries/choice/localfirstchoice.h
+++ b/packages/qz_entries/choice/localfirstchoice.h
@@ -12,8 +12,8 @@
 
 /// Chooses the better of two servers in the entry's own region. Chooses a server in another region
 /// only if there is none in its own, or if the local answer would miss its target and the remote
-/// answer would meet it and arrive much earlier. The link between regions is narrow and
-/// paid by volume.
+/// answer would meet it and arrive much earlier. The reason is that the link between regions has
+/// little bandwidth and is paid by volume.
 /// @see ServerChooser
 class LocalFirstChoice
 {
--- a/packages/qz_entries/choice/servercandidate.h
+++ b/packages/qz_entries/choice/servercandidate.h
@@ -9,7 +9,8 @@
 
 namespace qz {
 
-/// State of a gate's queue, from the last digest that the gate sent.
+/// State of a gate's queue, from the last digest that the gate sent. The gate of a backend server
+/// receives and queues all requests for the server.
 struct QueueDigest
 {
     std::size_t queued_ = 0;
--- a/packages/qz_entries/choice/weighteddraw.h
+++ b/packages/qz_entries/choice/weighteddraw.h
@@ -19,7 +19,8 @@
 std::optional<std::size_t> drawByWeight(const std::vector<ServerCandidate> &candidates,
                                         CandidateIndexes &among, std::mt19937_64 &generator);
 
-/// Draws two of @p among in the same way and returns the one with the earlier expected answer.
+/// Draws two of @p among like drawByWeight() and returns the one with the earlier expected answer,
+/// or no value if @p among is empty.
 std::optional<std::size_t> betterOfTwo(const std::vector<ServerCandidate> &candidates,
                                        const ServerRequest &request, CandidateIndexes among,
                                        std::mt19937_64 &generator);
--- a/packages/qz_entries/directory/entrydirectory.h
+++ b/packages/qz_entries/directory/entrydirectory.h
@@ -40,8 +40,9 @@
 
 /// Chooses addresses from the live members: first the members in the caller's failure domain, then
 /// those in its region, then all others. Within each group the order depends on a hash of the
-/// caller, which spreads callers evenly. Leaving instances are not listed. Instances that know the
-/// same members return the same list for a caller.
+/// caller, which spreads callers evenly. The last places are kept for other failure domains if the
+/// list would have fewer than Limits::minFailureDomains_. Leaving instances are not listed.
+/// Instances that know the same members return the same list for a caller.
 class EntryDirectory
 {
 public:
@@ -49,13 +50,14 @@
     struct Limits
     {
         std::size_t maxAddresses_ = 4;
-        std::size_t minFailureDomains_ = 2; ///< Or fewer, if members are in fewer.
+        std::size_t minFailureDomains_ = 2; ///< Fewer only if the members are in fewer.
         Duration timeToLive_ = std::chrono::seconds(10);
     };
 
     explicit EntryDirectory(Limits limits);
 
-    /// Returns an empty list only if no member is live. Computes one hash per member.
+    /// Returns an empty list only if all of @p members are leaving or there are none. Computes one
+    /// hash per member that is not leaving.
     AddressList addressesFor(const AddressQuery &query,
                              const std::vector<EntryMember> &members) const;
 
--- a/packages/qz_entries/qz_entries.h
+++ b/packages/qz_entries/qz_entries.h
@@ -1,7 +1,6 @@
-// Package:      qz_entries
-// Purpose:      decisions of an entry instance: the backend server and gate for a request, whether
-//               a retry may be sent, and the addresses that a caller should connect to.
-// Dependencies: qz_core, nlohmann-json
+// The package qz_entries: decisions of an entry, which is an instance that accepts callers. Chooses
+// the backend server and gate for a request, decides whether a retry may be sent, and lists the
+// addresses that a caller should connect to.
 #pragma once
 
 #include "qz_entries/choice/localfirstchoice.h"
--- a/packages/qz_entries/retries/retrybudget.h
+++ b/packages/qz_entries/retries/retrybudget.h
@@ -14,8 +14,8 @@
 };
 
 /// Token bucket for retries. Successful requests earn tokens, as does time at a low rate; each
-/// retry spends one token. Whether a request may be retried at all depends on the kinds of error
-/// and work and is decided elsewhere.
+/// retry spends one token. Whether a request may be retried at all depends on the kind of error and
+/// on the kind of work, and is decided elsewhere.
 /// @see answerOf
 class RetryBudget
 {
--- a/packages/qz_forward/backends/backendtable.h
+++ b/packages/qz_forward/backends/backendtable.h
@@ -27,13 +27,14 @@
     /// Adds or updates one server.
     void put(const ListedBackend &listed);
 
-    /// Removes a server that is no longer listed; during the grace period only when that ends.
+    /// Removes a server that is no longer listed. A server that is removed during the grace
+    /// period is kept until the period ends, and longer if it is listed again by then.
     void remove(const BackendServerId &id);
 
     /// Replaces the whole list; removes the servers that are not in @p listed.
     void replaceAll(const std::vector<ListedBackend> &listed);
 
-    /// Starts the grace period when the list can be read again after an outage.
+    /// Starts the grace period. To be called when the list can be read again after an outage.
     void startRemovalGrace(Duration grace);
 
     /// Returns the servers of @p service; empty if none is listed.
@@ -56,7 +57,7 @@
     EventLoop &loop_;
     std::map<BackendServerId, ServerPtr> servers_;
     std::map<ServiceId, std::vector<ServerPtr>> services_; ///< The same servers, by service.
-    /// Servers that were removed from the list during the grace period.
+    /// Servers to remove at the end of the grace period.
     std::map<BackendServerId, bool> missing_;
     TimePoint graceUntil_{};
     Timers::HandlePtr graceTimer_;
--- a/packages/qz_forward/requests/forwardedrequest.cpp
+++ b/packages/qz_forward/requests/forwardedrequest.cpp
@@ -569,8 +569,8 @@
         forwarder_.failureRateTracker(service_).record(isSuccess, forwarder_.loop().now());
     }
     if (isLogged(LogLevel::Info)) {
-        // Two events, so that the log limit reached by many successful requests does not
-        // suppress the lines about failed ones.
+        // The log limits the lines of each event. Separate events keep many successful requests
+        // from suppressing the lines about failed ones.
         log(LogLevel::Info, isSuccess ? "request-answered" : "request-failed",
             { { "request", requestId_ },
               { "route", route_ == nullptr ? "" : route_->name_ },
--- a/packages/qz_forward/requests/forwardedrequest.h
+++ b/packages/qz_forward/requests/forwardedrequest.h
@@ -94,7 +94,8 @@
     /// The body arrives while it is sent, so the request cannot be sent a second time.
     bool isBodyStreamed_ = false;
     TimePoint deadline_;
-    std::vector<std::shared_ptr<Backend>> candidateServers_; ///< Servers for the latest attempt.
+    /// Open servers of the service when the latest attempt was started, in random order.
+    std::vector<std::shared_ptr<Backend>> candidateServers_;
     std::vector<std::unique_ptr<ForwardAttempt>> attempts_;
     /// The attempt whose response is passed on to the caller while it arrives.
     ForwardAttempt *streamingAttempt_ = nullptr;
--- a/packages/qz_forward/requests/forwarder.h
+++ b/packages/qz_forward/requests/forwarder.h
@@ -39,8 +39,8 @@
 class Forwarder
 {
 public:
-    /// Called with the ejection time when this instance ejects a server, or with zero when a
-    /// server on trial has recovered.
+    /// Called with the ejection time when this instance ejects a server for a fault of the server
+    /// itself, or with zero when an ejected server has recovered. @see isServerFault
     using HealthListener = std::function<void(const Backend &server, Duration ejectionTime)>;
 
     Forwarder(EventLoop &loop, ForwardSettings settings, BackendTable &backends,
@@ -53,7 +53,8 @@
     void setRoutes(std::shared_ptr<const RoutingTable> routes) { routes_ = std::move(routes); }
     const std::shared_ptr<const RoutingTable> &routes() const { return routes_; }
 
-    /// Returns this instance's role for a server. If none is set, the instance owns each server.
+    /// Returns this instance's role for a server. Without a provider, this instance is the owner of
+    /// every server.
     using ServerRoleProvider = std::function<ServerRole(const Backend &server)>;
     void setServerRoleProvider(ServerRoleProvider provider)
     {
--- a/packages/qz_placement/choice/placement.cpp
+++ b/packages/qz_placement/choice/placement.cpp
@@ -79,7 +79,8 @@
     return now >= candidate.ejectedUntil_ + settings.nonOwnerTrialDelay_;
 }
 
-/// Whether the share of the servers that have been ejected for long exceeds its limit.
+/// Whether the share of the servers that were ejected at least ownerEarlyTrialDelay_ ago exceeds
+/// maxEjectedShare_.
 bool isFloorNear(const std::vector<PlacementCandidate> &candidates,
                  const PlacementSettings &settings, TimePoint now)
 {
--- a/packages/qz_placement/choice/placement.h
+++ b/packages/qz_placement/choice/placement.h
@@ -74,8 +74,9 @@
     /// The same delay for the backup, which sends early trials only while many requests fail.
     /// Longer by the time that the owner's trial and its health report take.
     Duration backupEarlyTrialDelay_ = std::chrono::milliseconds(2700);
-    /// Half of what the floor allows to be out of service, because the floor counts only the
-    /// servers without a disruption.
+    /// Share of ejected servers above which trials are sent early while many requests fail. Half of
+    /// what the floor allows to be out of service, because the floor counts only the servers
+    /// without a disruption, and their ejected share can be higher than that of all servers.
     double maxEjectedShare_ = 0.15;
     /// A server to which this instance has sent no request for longer than this is preferred, so
     /// that enough servers of a service are in use when many requests start to fail.
@@ -95,18 +96,20 @@
 };
 
 /// Returns the candidate in good health with the lowest sum of expected answer time and cost of
-/// distance. Of the servers that other instances own, only the first few are compared, so
-/// @p candidates must be in random order.
+/// distance. A server that is due for use has a lower cost, see PlacementSettings::maxIdleTime_.
+/// Of the servers that other instances own, only the first few are compared, so @p candidates must
+/// be in random order.
 ///
-/// A server for which this instance is due to send a trial request is chosen before all others;
-/// of several such servers, the one with the longest ejection. If only ejected servers are left,
-/// returns the one whose ejection ends first. Returns no value if no server can answer within
-/// the remaining time.
+/// A server for which this instance is due to send a trial request is chosen before all others,
+/// whatever its expected answer time; of several such servers, the one that was ejected first. If
+/// only ejected servers are left, returns the one with the lowest sum of remaining ejection time
+/// and cost of distance. Returns no value if no trial is due and no server can answer within the
+/// remaining time.
 ///
 /// Assumed load: there are enough slots overall, but at any time some of the servers fail or are
 /// slow, and the servers of one failure domain may be too few. An instance therefore sends most
 /// requests to the servers that it owns, whose queues it knows. Of these it prefers the fastest,
-/// because each server in use costs requests when it starts to fail. The other servers get an
+/// because each server in use loses requests when it starts to fail. The other servers get an
 /// occasional request from their owner. Once many requests fail, backups use idle servers too and
 /// trials are sent earlier, so that servers with a short failure return to service.
 std::optional<Placement> choosePlacement(const std::vector<PlacementCandidate> &candidates,
--- a/packages/qz_placement/choice/serverroles.h
+++ b/packages/qz_placement/choice/serverroles.h
@@ -9,9 +9,10 @@
 
 namespace qz {
 
-/// Role of an instance for a backend server. Owner and backup keep the server in use and send
-/// trial requests after an ejection. Other instances choose the server by its cost alone, so that
-/// only a few requests are lost to find out that it fails.
+/// Role of an instance for a backend server. Owner and backup keep the server in use and send the
+/// first trial requests after an ejection. Other instances choose the server by its cost alone and
+/// send trial requests only after PlacementSettings::nonOwnerTrialDelay_, so that only a few
+/// requests are lost to find out that the server fails.
 enum class ServerRole : std::uint8_t {
     None,   ///< Neither owner nor backup.
     Owner,  ///< An instance in the server's failure domain.
--- a/packages/qz_placement/health/serverhealth.h
+++ b/packages/qz_placement/health/serverhealth.h
@@ -18,7 +18,7 @@
     TimedOut,      ///< No answer before the deadline of the request.
     ConnectFailed, ///< The connection could not be opened; nothing was sent.
     WrongInstance, ///< A different server uses the address now.
-    Overtaken,     ///< Another server answered a second attempt of the request first.
+    Overtaken,     ///< Another attempt of the request was answered first.
     Cancelled,     ///< Cancelled for a reason unrelated to the server.
 };
 
@@ -31,10 +31,10 @@
 /// Durations of ejections, and the condition under which a server returns to service.
 struct EjectionLimits
 {
-    /// First ejection after the failure of a repeatable request.
+    /// First ejection, unless nonRepeatableBaseEjectionTime_ applies.
     Duration baseEjectionTime_ = std::chrono::milliseconds(1500);
-    /// First ejection after the failure of a non-repeatable request. A failed trial loses such a
-    /// request, so the trial is sent when most failure periods have ended.
+    /// Shortest ejection after the server has immediately failed a non-repeatable request. A failed
+    /// trial loses such a request, so the trial is sent when most failure periods have ended.
     Duration nonRepeatableBaseEjectionTime_ = std::chrono::seconds(6);
     Duration maxEjectionTime_ = std::chrono::seconds(8); ///< Ejections double up to this time.
     int trialSuccesses_ = 2;                             ///< Consecutive answers that end a trial.
@@ -76,7 +76,7 @@
     bool record(AttemptResult result, Duration latency, bool isRepeatable, TimePoint now);
 
     /// Ejects the server because another instance reported an ejection that ends @p remaining after
-    /// @p now. Repeated reports of one ejection do not prolong it.
+    /// @p now. Repeated reports of one ejection restart it, but do not move its end.
     void applyReportedEjection(Duration remaining, TimePoint now);
     /// Ends the ejection or trial because another instance reported that the server answers again.
     void applyReportedRecovery(TimePoint now);
--- a/packages/qz_routing/table/trafficsplit.h
+++ b/packages/qz_routing/table/trafficsplit.h
@@ -12,7 +12,7 @@
 
 /// Distributes requests in proportion to the weights of the shares by smooth weighted round-robin.
 /// In any sequence of requests, the number sent to each service differs from its exact share by
-/// less than one request per share. Each process starts at a random point of the sequence, so that
+/// less than the number of shares. Each process starts at a random point of the sequence, so that
 /// the requests of many processes together are balanced as well.
 class TrafficSplit
 {
