--- a/packages/qz_health/detection/consecutiveerrorsdetector.h
+++ b/packages/qz_health/detection/consecutiveerrorsdetector.h
@@ -9,7 +9,7 @@
 namespace qz {
 
 /// Regards a server as failing after a number of consecutive errors, regardless of the other
-/// servers. Used to compare RelativeDetector with.
+/// servers. Exists for comparison with RelativeDetector.
 /// @see OutlierDetector
 class ConsecutiveErrorsDetector
 {
--- a/packages/qz_health/detection/successratedetector.h
+++ b/packages/qz_health/detection/successratedetector.h
@@ -8,8 +8,8 @@
 
 namespace qz {
 
-/// Regards a server as failing if its success rate is below the mean of its service by a number of
-/// standard deviations. Used to compare RelativeDetector with.
+/// Regards a server as failing if its success rate is more than a fixed number of standard
+/// deviations below the mean of its service. Exists for comparison with RelativeDetector.
 /// @see OutlierDetector
 class SuccessRateDetector
 {
--- a/packages/qz_health/detection/verdict.h
+++ b/packages/qz_health/detection/verdict.h
@@ -31,8 +31,8 @@
     using State = std::variant<NoEvidence, Healthy, Slow, Failing, Unreachable>;
 
     State state_;
-    /// 0..1. From weightConfidence on the weight of an unhealthy server is reduced; from
-    /// ejectConfidence on the server can be proposed for ejection.
+    /// 0..1. If it is at least weightConfidence, the weight of an unhealthy server is reduced; if
+    /// it is at least ejectConfidence, the server can be proposed for ejection.
     double confidence_ = 0;
 
     static constexpr double weightConfidence = 0.3;
--- a/packages/qz_health/ejection/ejectiondecider.h
+++ b/packages/qz_health/ejection/ejectiondecider.h
@@ -108,7 +108,7 @@
     std::map<BackendServerId, TimePoint> withdrawnAt_; ///< When the withdrawal was last seen.
     EjectionReview review_;
     ReadmissionProbes probes_;
-    /// Row version in force at a gate that uses the server.
+    /// Highest row version that a gate reported while it did not enforce an ejection, by server.
     std::map<BackendServerId, RowVersion> confirmed_;
 
     TableState tableState_ = TableState::NeedsRead;
--- a/packages/qz_health/ejection/ejectiondriver.h
+++ b/packages/qz_health/ejection/ejectiondriver.h
@@ -67,7 +67,7 @@
     /// Passes a report to the decider, and pushes the row again if the gate has an older one.
     void onReport(const GateReport &report);
 
-    /// Plans and performs one step. A timer calls it every stepPeriod.
+    /// Plans and performs one step. Called by a timer every stepPeriod, and after each write.
     void step();
 
 private:
--- a/packages/qz_health/ejection/ejectionreview.h
+++ b/packages/qz_health/ejection/ejectionreview.h
@@ -79,7 +79,7 @@
     /// Removes the data of @p server after it was ejected or delisted.
     void remove(const BackendServerId &server) { reviews_.erase(server); }
 
-    /// Reviews all servers. Requests at most one second opinion per server and second.
+    /// Reviews all servers. Requests a second opinion on each server at most once per second.
     ReviewResult review(TimePoint now);
 
     /// Returns the confidence of the verdict in the latest report about @p server; 0 if it is
@@ -99,7 +99,7 @@
 
     static Finding evaluate(const ServerReview &entry, TimePoint now);
 
-    std::map<BackendServerId, ServerReview> reviews_; ///< One for each server of the service.
+    std::map<BackendServerId, ServerReview> reviews_; ///< One for each reported server.
 };
 
 } // namespace qz
--- a/packages/qz_health/ejection/ejectionrow.h
+++ b/packages/qz_health/ejection/ejectionrow.h
@@ -31,14 +31,14 @@
     EjectionPhase phase_ = EjectionPhase::InService;
     Withdrawal withdrawal_ = Withdrawal::None;
     unsigned recentEjections_ = 0; ///< Decreases by one per HoldDown::decayPeriod in service.
-    std::chrono::milliseconds holdDown_{}; ///< Minimum time ejected before the first probe.
+    std::chrono::milliseconds holdDown_{}; ///< Minimum time from ejection to first probe.
 
     /// Returns true if the server is neither ejected, being re-admitted nor withdrawn.
     bool countsAsHealthy() const
     {
         return phase_ == EjectionPhase::InService && withdrawal_ == Withdrawal::None;
     }
-    /// Returns true if the entry equals that of a server without one.
+    /// Returns true if the entry can be removed: a server without an entry is treated the same.
     bool isDefault() const { return countsAsHealthy() && recentEjections_ == 0; }
 
     friend bool operator==(const ServerEntry &a, const ServerEntry &b)
@@ -70,7 +70,7 @@
         return entryOf(server).phase_ == EjectionPhase::Ejected;
     }
 
-    /// Removes entries that equal a default one.
+    /// Removes the entries for which isDefault() returns true.
     void removeDefaultEntries();
 };
 
--- a/packages/qz_health/ejection/gateejections.h
+++ b/packages/qz_health/ejection/gateejections.h
@@ -39,7 +39,8 @@
     bool hasRead_ = false;
     RowVersion version_ = 0;
     EjectionRow row_;
-    std::map<BackendServerId, RowVersion> suspended_; ///< Highest row version suspended.
+    /// Highest row version whose ejection of the server is suspended.
+    std::map<BackendServerId, RowVersion> suspended_;
 };
 
 } // namespace qz
--- a/packages/qz_health/ejection/holddown.h
+++ b/packages/qz_health/ejection/holddown.h
@@ -13,7 +13,8 @@
     /// Time in service after which the number of recent ejections decreases by one.
     static constexpr std::chrono::milliseconds decayPeriod = std::chrono::minutes(5);
 
-    /// Returns the hold-down of the latest of @p recentEjections ejections, at least 1.
+    /// Returns the hold-down after an ejection. @p recentEjections includes this ejection, so it is
+    /// at least 1.
     static std::chrono::milliseconds after(unsigned recentEjections)
     {
         std::chrono::milliseconds holdDown = base;
--- a/packages/qz_health/ejection/readmissionprobes.cpp
+++ b/packages/qz_health/ejection/readmissionprobes.cpp
@@ -5,11 +5,11 @@
 namespace {
 
 constexpr unsigned successesToReadmit = 3;
-/// Time between probes of one server.
+/// Minimum time between two probes of one server.
 constexpr Duration probePeriod = std::chrono::milliseconds(500);
 constexpr Duration pauseAfterFailedProbe = std::chrono::seconds(5);
-constexpr Duration serviceProbePeriod =
-        std::chrono::milliseconds(200); ///< At most one probe per service in it.
+/// Minimum time between two probes of any servers of the service.
+constexpr Duration serviceProbePeriod = std::chrono::milliseconds(200);
 
 } // namespace
 
--- a/packages/qz_health/evidence/evidencedigest.h
+++ b/packages/qz_health/evidence/evidencedigest.h
@@ -16,16 +16,16 @@
 struct KindSummary
 {
     std::uint32_t kind_ = 0;  ///< kindHash() of the kind's name.
-    std::uint16_t count_ = 0; ///< Number of observations; 0 marks an unused entry.
+    std::uint16_t count_ = 0; ///< Effective sample count; 0 if the entry is unused.
     float meanLog_ = 0;       ///< Mean of the natural logarithm of the latency in seconds.
     float spreadLog_ = 0;     ///< Standard deviation on the same scale.
 
     MSGPACK_DEFINE_ARRAY(kind_, count_, meanLog_, spreadLog_)
 };
 
-/// A gate's summary of a backend server for the service's health decider and for entries. Scores
-/// are sums of log-likelihood ratios of an unhealthy against a healthy server, in nats. They are
-/// not negative unless stated otherwise.
+/// A gate's summary of a backend server for the service's health decider and for entry instances.
+/// Scores are sums of log-likelihood ratios of an unhealthy against a healthy server, in nats. They
+/// are not negative unless stated otherwise.
 /// Invariant: the msgpack form is shorter than 200 bytes.
 /// @see ServerEvidence, OutlierDetector
 struct EvidenceDigest
@@ -58,7 +58,7 @@
         return 0U + succeeded_ + shed_ + failed_ + timedOut_ + connectFailed_ + cut_;
     }
 
-    /// Returns how many of them neither succeeded nor were shed.
+    /// Returns the number of requests in total() that neither succeeded nor were shed.
     unsigned errors() const { return 0U + failed_ + timedOut_ + connectFailed_ + cut_; }
 
     MSGPACK_DEFINE_ARRAY(kinds_, probe_, succeeded_, shed_, failed_, timedOut_, connectFailed_,
--- a/packages/qz_health/evidence/serverevidence.cpp
+++ b/packages/qz_health/evidence/serverevidence.cpp
@@ -140,10 +140,10 @@
 void ServerEvidence::reset(TimePoint now)
 {
     ServiceBaseline baseline = std::move(baseline_);
-    const InFlightId lastFlight = lastInFlightId_;
+    const InFlightId lastInFlightId = lastInFlightId_;
     *this = ServerEvidence();
     baseline_ = std::move(baseline);
-    lastInFlightId_ = lastFlight;
+    lastInFlightId_ = lastInFlightId;
     updateUnhealthySince(now);
 }
 
--- a/packages/qz_health/tests/detectionmeasurement.cpp
+++ b/packages/qz_health/tests/detectionmeasurement.cpp
@@ -1,5 +1,5 @@
 // Measures how fast unhealthy servers are detected and how often healthy ones are ejected.
-// Simulates eight servers with manual time, each with its gate's evidence, detector and weight,
+// Simulates eight servers on a manual clock, each with its gate's evidence, detector and weight,
 // without processes or sockets. Prints a table.
 //
 // Usage: qz_health_detection [seeds [healthy-minutes-per-server-and-case]]
@@ -86,8 +86,8 @@
     /// Runs the warm-up, and then the fault for @p length.
     void run(Duration length)
     {
-        const TimePoint faultAt = clock_.now() + warmUp;
-        faultAt_ = faultAt + std::chrono::milliseconds(random_() % 1000);
+        const TimePoint warmUpEnd = clock_.now() + warmUp;
+        faultAt_ = warmUpEnd + std::chrono::milliseconds(random_() % 1000);
         const TimePoint end = faultAt_ + length;
         while (clock_.now() < end) {
             clock_.advance(tick);
@@ -338,7 +338,7 @@
                               fault != Fault::OneWay, isGood };
     }
 
-    /// Returns true if probes of the server fail although its requests succeed.
+    /// Returns true if probes by other instances fail although requests to the server succeed.
     bool hasMisleadingProbes(std::size_t index) const
     {
         return scenario_.load_ == Load::MisleadingProbes && index < 2;
--- a/packages/qz_health/tests/ejectionfixture.h
+++ b/packages/qz_health/tests/ejectionfixture.h
@@ -111,7 +111,7 @@
         members_[static_cast<std::size_t>(number)].withdrawal_ = withdrawal;
     }
 
-    /// Steps @p driver until it has no more reads and writes to do.
+    /// Steps @p driver eight times, so that it can complete its pending reads and writes.
     void stepUntilIdle(EjectionDriver &driver)
     {
         for (int i = 0; i < 8; ++i) {
--- a/packages/qz_health/tests/ejectionscheduletest.cpp
+++ b/packages/qz_health/tests/ejectionscheduletest.cpp
@@ -149,7 +149,6 @@
     int pick(int count) { return static_cast<int>(random_() % static_cast<unsigned>(count)); }
     void send(Message message) { messages_.push_back(std::move(message)); }
 
-    /// Performs one random event.
     void performRandomEvent()
     {
         const int number = pick(serverCount);
--- a/packages/qz_health/tests/weightcontrollertest.cpp
+++ b/packages/qz_health/tests/weightcontrollertest.cpp
@@ -47,8 +47,8 @@
     const Verdict suspect{ Slow{ 3 }, Verdict::weightConfidence };
     BOOST_TEST(scheduler.shouldProbe(suspect, clock.now()));
     clock.advance(1s);
-    BOOST_TEST(
-            !scheduler.shouldProbe(suspect, clock.now())); // the previous probe is still in flight
+    // The previous probe is still in flight.
+    BOOST_TEST(!scheduler.shouldProbe(suspect, clock.now()));
     int sent = 0;
     for (int i = 0; i < 600; ++i) {
         clock.advance(100ms);
--- a/packages/qz_presence/directory/instancedirectory.cpp
+++ b/packages/qz_presence/directory/instancedirectory.cpp
@@ -76,15 +76,15 @@
                                                                   std::vector<std::string> ids,
                                                                   std::size_t count) const
 {
-    std::vector<InstanceRecord> first;
+    std::vector<InstanceRecord> preferred;
     for (const std::string &id : rendezvousOrder(key, std::move(ids))) {
-        first.push_back(recordOf(id));
+        preferred.push_back(recordOf(id));
     }
-    std::stable_sort(first.begin(), first.end(), [](const auto &a, const auto &b) {
+    std::stable_sort(preferred.begin(), preferred.end(), [](const auto &a, const auto &b) {
         return a.processorShare_ > b.processorShare_;
     });
-    first.resize(std::min(count, first.size()));
-    return first;
+    preferred.resize(std::min(count, preferred.size()));
+    return preferred;
 }
 
 const InstanceRecord &InstanceDirectory::recordOf(const std::string &id) const
--- a/packages/qz_presence/directory/instancedirectory.h
+++ b/packages/qz_presence/directory/instancedirectory.h
@@ -70,7 +70,7 @@
 
     /// Records a presence message of an instance.
     void recordPresence(const InstanceId &id, const InstanceState &state, TimePoint now);
-    /// Marks an instance as not live, since its link was lost or it announced that it stops.
+    /// Marks an instance as not live, because its link was lost or it announced that it stops.
     void markLost(const InstanceId &id);
 
     void setSelfState(const InstanceState &state) { selfState_ = state; }
@@ -82,8 +82,8 @@
     /// Returns whether this instance is one of entries().
     bool isEntry(TimePoint now) const;
 
-    /// Returns the number of instances before this one that can read from the store, or an empty
-    /// value if this instance is not one of the readers.
+    /// Returns the number of instances before this one in the order of readers that can read from
+    /// the store, or an empty value if this instance is not one of the readers.
     std::optional<std::size_t> readerIndex(TimePoint now) const;
 
     /// Returns the other instances of this failure domain, in the order of preference for callers.
--- a/packages/qz_presence/exchange/presencedriver.cpp
+++ b/packages/qz_presence/exchange/presencedriver.cpp
@@ -13,8 +13,8 @@
 /// Three periods fit into the silence limit after which an instance is no longer live.
 constexpr Duration announcePeriod = std::chrono::milliseconds(400);
 
-/// Minimum time between two instance lists that an instance sends without being asked, whichever
-/// instance they go to. This allows one list for each announcement.
+/// Minimum time between two instance lists that an instance sends other than as a reply, whichever
+/// instances they go to. This allows one list per announcement.
 constexpr Duration minListInterval = announcePeriod;
 
 } // namespace
--- a/packages/qz_presence/exchange/presencedriver.h
+++ b/packages/qz_presence/exchange/presencedriver.h
@@ -69,8 +69,8 @@
     VersionsHandler versionsHandler_;
     InstanceState state_;
     Timers::HandlePtr periodicTimer_;
-    Timers::HandlePtr announceTimer_; ///< Set after new instances were found.
-    /// Time when this instance last sent its list without being asked.
+    Timers::HandlePtr announceTimer_; ///< Set after an instance was added or its record changed.
+    /// Time when this instance last sent its list other than as a reply.
     TimePoint listSentAt_{};
 };
 
--- a/packages/qz_replica/exchange/replicaexchange.cpp
+++ b/packages/qz_replica/exchange/replicaexchange.cpp
@@ -19,8 +19,8 @@
 /// long.
 constexpr Duration minRequestInterval = std::chrono::milliseconds(500);
 
-/// Number of bytes that an instance sends to all other instances of its domain together. The
-/// slowest links transfer this in a fifth of a second.
+/// Maximum number of bytes of a snapshot that an instance sends to all other instances of its
+/// domain together. The slowest links transfer this in a fifth of a second.
 constexpr std::size_t broadcastLimitBytes = std::size_t(256) * 1024;
 /// Number of instances that get a larger snapshot directly; the others request it from these.
 constexpr std::size_t firstReceiverCount = 3;
@@ -125,7 +125,7 @@
         if (found != tables_.end() && version > found->second.replica_.version()
             && loop_.now() - found->second.requestedAt_ >= minRequestInterval) {
             found->second.requestedAt_ = loop_.now();
-            // If the request is lost, it is repeated after a later presence message.
+            // Within the domain, a lost request is repeated after a later presence message.
             (void)links_.send(
                     from, MessageKind::TableRequest,
                     packMessage(TableRequestMessage{ name, found->second.replica_.version() }));
@@ -190,7 +190,8 @@
     if (found == tables_.end() || found->second.replica_.version() <= request.value().version_) {
         return;
     }
-    // If the response is lost, the table is requested again after the next presence message.
+    // If the response is lost, an instance of the same domain requests the table again after a
+    // later presence message.
     (void)links_.send(from, MessageKind::TableUpdate,
                       packMessage(found->second.replica_.makeSnapshot()));
 }
--- a/packages/qz_replica/exchange/replicaexchange.h
+++ b/packages/qz_replica/exchange/replicaexchange.h
@@ -33,10 +33,10 @@
 };
 
 /// Keeps the table replicas of an instance up to date. An instance that has read an update from
-/// the store sends it to all other instances of its failure domain. An instance that has an older
-/// version than another one announces, because a message was lost or because it has just started,
-/// requests a snapshot of the table. A large snapshot is sent to a few instances first, which are
-/// the preferred ones for callers; the other instances request it from them.
+/// the store sends it to all other instances of its failure domain. An instance may have an older
+/// version than another one announces, because a message was lost or because it has just started;
+/// it then requests a snapshot of the table. A large snapshot is sent to a few instances first,
+/// which are the preferred ones for callers; the other instances request it from them.
 ///
 /// The readers of other failure domains get only the new version number, since they read the store
 /// themselves. A reader that still has an older version shortly afterwards has lost its connection
