--- a/packages/qz_forward/backends/backend.h
+++ b/packages/qz_forward/backends/backend.h
@@ -50,10 +50,10 @@
 
     /// Records that a request is sent to the server at @p now.
     void beginRequest(TimePoint now);
-    /// Records the end of the request that began at @p startTime.
-    void endRequest(TimePoint startTime);
     /// Returns the time when the last request was sent to the server.
     TimePoint lastSent() const { return lastSent_; }
+    /// Records the end of the request that began at @p startTime.
+    void endRequest(TimePoint startTime);
     /// Returns the number of requests that the server has not answered yet.
     int inFlight() const { return static_cast<int>(startTimes_.size()); }
     /// Returns the age of the oldest unanswered request, or zero if there is none.
--- a/packages/qz_once/batching/claimbatcher.cpp
+++ b/packages/qz_once/batching/claimbatcher.cpp
@@ -22,8 +22,7 @@
 void ClaimBatcher::write(TableWrite write, RowWriteDone done)
 {
     if (queue_.size() >= limits_.maxQueuedWrites_) {
-        done(failure(ErrorKind::StoreUnavailable,
-                     "too many writes of claims are waiting for the table"));
+        done(failure(ErrorKind::StoreUnavailable, "too many claims wait for the table"));
         return;
     }
     ++writeCount_;
@@ -120,9 +119,7 @@
     Batch conflicting(std::make_move_iterator(firstConflict), std::make_move_iterator(batch.end()));
     batch.erase(firstConflict, batch.end());
     if (conflicting.empty()) {
-        finish(batch,
-               failure(ErrorKind::MalformedReply,
-                       "the table reported conflicts only for rows that were not written"));
+        finish(batch, failure(ErrorKind::MalformedReply, "conflicts on rows not written"));
         return;
     }
     // The table applied no write of the batch, so the other writes can be committed again.
--- a/packages/qz_once/claims/claimattempt.cpp
+++ b/packages/qz_once/claims/claimattempt.cpp
@@ -38,7 +38,7 @@
     const bool isLate = context_.clock_.now() - startTime_ >= context_.limits_.retryTimeLimit_;
     if (isLate || writeCount_ >= context_.limits_.maxWrites_) {
         fail(mayBeWritten_ ? ErrorKind::ClaimUndecided : ErrorKind::ClaimStoreUnavailable,
-             "could not write the claim to the table in time");
+             "the table did not take the claim in time");
         return;
     }
     ++writeCount_;
@@ -77,10 +77,9 @@
 {
     if (!result.has_value()) {
         if (mayBeWritten_) {
-            fail(ErrorKind::ClaimUndecided,
-                 "the table's response was lost: " + result.error().message_);
+            fail(ErrorKind::ClaimUndecided, "the answer was lost: " + result.error().message_);
         } else {
-            failAlreadyClaimed("the key is claimed, but its row could not be read: "
+            failAlreadyClaimed("the key is claimed; its row cannot be read: "
                                + result.error().message_);
         }
         return;
--- a/packages/qz_once/claims/claimrow.cpp
+++ b/packages/qz_once/claims/claimrow.cpp
@@ -36,7 +36,7 @@
             return state;
         }
     }
-    return failure(ErrorKind::MalformedReply, "claim row has an unknown state: " + name);
+    return failure(ErrorKind::MalformedReply, "a claim row has the unknown state " + name);
 }
 
 } // namespace
@@ -66,7 +66,7 @@
     for (const char *member : { "token", "claimer", "incarnation", "state" }) {
         if (!parsed.is_object() || !parsed.contains(member) || !parsed[member].is_string()) {
             return failure(ErrorKind::MalformedReply,
-                           std::string("claim row has no text member ") + member);
+                           std::string("a claim row has no text ") + member);
         }
     }
     const Result<ClaimState> state = parseState(parsed["state"].get<std::string>());
--- a/packages/qz_proxy/dispatch/gatedispatcher.cpp
+++ b/packages/qz_proxy/dispatch/gatedispatcher.cpp
@@ -130,7 +130,7 @@
     const auto request = unpackMessage<ExecuteRequest>(payload);
     if (request.has_value()) {
         fail(request.value().requestId_, ErrorKind::GateUnreachable,
-             "could not send the request to the gate's instance");
+             "the link to the gate did not open");
     }
 }
 
@@ -143,7 +143,7 @@
         }
     }
     for (const RequestId &requestId : lost) {
-        fail(requestId, ErrorKind::PeerLinkLost, "lost the connection to the gate's instance");
+        fail(requestId, ErrorKind::PeerLinkLost, "the link to the gate was lost");
     }
     if (linkLostListener_) {
         linkLostListener_(peer);
--- a/packages/qz_proxy/entry/callerrequest.cpp
+++ b/packages/qz_proxy/entry/callerrequest.cpp
@@ -76,8 +76,7 @@
 void CallerRequest::process()
 {
     if (!context_.fleetState_.isInForce()) {
-        fail({ ErrorKind::RulesNotInForce,
-               "this instance could not determine which rules are in force" });
+        fail({ ErrorKind::RulesNotInForce, "this instance cannot tell which rules are in force" });
         return;
     }
     if (!classify()) {
@@ -97,7 +96,7 @@
     const std::string_view path = target.substr(0, target.find('?'));
     kind_ = rules_->classify({ request.method_, path, record_.workspace_ });
     if (kind_ == nullptr) {
-        fail({ ErrorKind::NoRoute, "no kind of work in the rules matches this request" });
+        fail({ ErrorKind::NoRoute, "no kind of work matches this request" });
         return false;
     }
     record_.kind_ = kind_->name_;
@@ -106,8 +105,7 @@
     if (request.headers_.find(deadlineHeader)) {
         const auto requested = readDeadline(request.headers_);
         if (!requested) {
-            fail({ ErrorKind::BadRequest,
-                   std::string(deadlineHeader) + " must be an integer from 1 to 3600000" });
+            fail({ ErrorKind::BadRequest, std::string(deadlineHeader) + " must be 1 to 3600000" });
             return false;
         }
         limit = std::min(limit, *requested);
@@ -120,8 +118,7 @@
 {
     const auto key = exchange_->request().headers_.find(idempotencyKeyHeader);
     if (!key || key->empty()) {
-        fail({ ErrorKind::IdempotencyKeyMissing,
-               "this kind of work requires an Idempotency-Key header" });
+        fail({ ErrorKind::IdempotencyKeyMissing, "this kind of work needs an Idempotency-Key" });
         return;
     }
     const auto self = shared_from_this();
@@ -141,12 +138,11 @@
 void CallerRequest::attemptNext()
 {
     if (isCallerGone_) {
-        fail({ ErrorKind::CallerGone, "the caller closed the connection" });
+        fail({ ErrorKind::CallerGone, "the caller has gone" });
         return;
     }
     if (context_.loop_.now() >= deadline_) {
-        fail({ ErrorKind::DeadlineExpiredInQueue,
-               "the deadline expired before the request could be sent" });
+        fail({ ErrorKind::DeadlineExpiredInQueue, "time was up before a try" });
         return;
     }
     const auto candidates = findCandidates();
@@ -172,7 +168,7 @@
         attemptNext();
         return;
     }
-    fail({ ErrorKind::NoBackendServer, "no backend server is available for this kind of work" });
+    fail({ ErrorKind::NoBackendServer, "no backend server of this kind can be reached" });
 }
 
 std::vector<ServerCandidate> CallerRequest::findCandidates() const
--- a/packages/qz_proxy/operators/operatorservice.cpp
+++ b/packages/qz_proxy/operators/operatorservice.cpp
@@ -98,7 +98,7 @@
     } else if (startsWith(path, requestsPrefix)) {
         explain(path.substr(requestsPrefix.size()), *exchange);
     } else {
-        replyError(*exchange, { ErrorKind::NotFound, "unknown operator path" });
+        replyError(*exchange, { ErrorKind::NotFound, "no such operator path" });
     }
 }
 
@@ -136,7 +136,8 @@
 {
     const auto record = journal_.find(RequestId(id));
     if (!record) {
-        replyError(exchange, { ErrorKind::NotFound, "this instance has no record of the request" });
+        replyError(exchange,
+                   { ErrorKind::NotFound, "this instance does not remember that request" });
         return;
     }
     replyJson(exchange, statusOk, record->toJson());
