--- a/apps/quetzaldaled/drainsequence.h
+++ b/apps/quetzaldaled/drainsequence.h
@@ -29,7 +29,7 @@
 {
     Duration gateGrace_{};
     Duration entryGrace_{}; ///< At least the time for which callers cache an address.
-    Duration limit_{};      ///< The process ends even with requests in flight.
+    Duration limit_{};      ///< Until the process ends even with requests in flight.
 };
 
 /// Runs the steps in order and ends once nothing is in flight. At the limit it logs what is
--- a/apps/quetzaldaled/serve/servedaemon.cpp
+++ b/apps/quetzaldaled/serve/servedaemon.cpp
@@ -19,8 +19,8 @@
 
 constexpr Duration tickPeriod = 1s;
 /// Requests that arrive right after a start are deferred until the configuration and the list
-/// of backend servers are known, which takes a few tenths of a second, but no longer than this:
-/// the request of a caller must be read within one second.
+/// of backend servers are known, which takes a few tenths of a second. The deferral ends after
+/// this time at the latest, since the request of a caller must be read within one second.
 constexpr Duration startupDeferLimit = 900ms;
 /// Period in which the instance checks whether callers are sent to it and whether it is a
 /// reader of the store.
--- a/apps/quetzaldaled/serve/servedaemon.h
+++ b/apps/quetzaldaled/serve/servedaemon.h
@@ -17,7 +17,8 @@
 
 /// Serves callers, the directory, readiness and metrics until it receives a signal to stop. A
 /// stopping instance leaves the directory at once, but serves callers that still use its
-/// address. It ends when these no longer have a connection, or shortly before its stop limit.
+/// address. After the time for which they may use it, the instance ends once they have no
+/// connection and no running request, or else shortly before its stop limit.
 /// @see Forwarder, PlatformAdapter, PresenceDriver
 class ServeDaemon
 {
--- a/apps/quetzaldaled/tests/daemonsettingstest.cpp
+++ b/apps/quetzaldaled/tests/daemonsettingstest.cpp
@@ -43,7 +43,7 @@
     auto flags = makeValidFlags();
     flags["peer-address"] = flags["caller-address"];
     flags["drain-grace-ms"] = "500";
-    // The equal addresses, and the grace of the gates and the keep time above the drain grace.
+    // The addresses are equal; gate-drain-grace-ms and address-keep-ms exceed drain-grace-ms.
     BOOST_TEST(problemsOf(flags).size() == 3U);
 }
 
--- a/packages/qz_admission/policies/sharedrankspolicy.cpp
+++ b/packages/qz_admission/policies/sharedrankspolicy.cpp
@@ -13,7 +13,7 @@
 constexpr Duration maxCreditTime = std::chrono::seconds(1);
 
 /// Limits the debt of a rank to what its share earns in this time while fewer than two ranks have
-/// queued work: slots that no other rank needed must not delay it for long afterwards.
+/// queued work: the use of slots that no other rank needed must not delay it for long afterwards.
 constexpr Duration maxUncontendedDebtTime = std::chrono::milliseconds(100);
 
 Duration scaled(Duration duration, double factor)
--- a/packages/qz_admission/policies/slotload.h
+++ b/packages/qz_admission/policies/slotload.h
@@ -5,11 +5,12 @@
 
 namespace qz {
 
-/// The work that the running requests still have to do.
+/// The slots and the work that the running requests still have to do.
 struct SlotLoad
 {
-    int slots_ = 1;        ///< At least 1.
-    Duration remaining_{}; ///< Sum of the expected remaining times of the running requests.
+    int slots_ = 1; ///< At least 1.
+    /// Sum of the expected remaining times of the running requests; zero if a slot is free.
+    Duration remaining_{};
     bool hasFreeSlot_ = true;
 
     /// Returns the expected wait behind @p queuedWork, in slot time, if @p share (above 0, at most
--- a/packages/qz_admission/queue/admissionqueue.h
+++ b/packages/qz_admission/queue/admissionqueue.h
@@ -42,8 +42,8 @@
     /// of its kind leave no time to answer before its deadline.
     Result<void> offer(AdmissionRequest request, TimePoint now);
 
-    /// Assigns a slot to the next request and returns it. Returns nothing if no slot is free or no
-    /// request is queued.
+    /// Assigns a slot to the next request and returns the request. Returns nothing if no slot is
+    /// free or no request is queued.
     std::optional<AdmissionRequest> startNext(TimePoint now);
 
     /// Frees the slot of the request @p id, if it is running. Pass true as @p recordServiceTime if
@@ -116,13 +116,14 @@
     int slots_ = 1;
     std::size_t maxQueued_ = 1;
     std::vector<RankShare> ranks_;                    ///< At least one.
-    std::vector<OverloadDetector> overloadDetectors_; ///< One per rank, also of earlier rules.
+    std::vector<OverloadDetector> overloadDetectors_; ///< One per rank, also for removed ranks.
     std::vector<WaitCorrection> waitCorrections_;     ///< Same size as overloadDetectors_.
     ServiceTimes serviceTimes_;
     QueuedRequests queued_;     ///< At most maxQueued_; the policy holds the same requests.
     std::set<Expiry> expiries_; ///< One per queued request.
 
-    /// No request starts at or above slots_, but lowering slots_ does not stop running requests.
+    /// Holds more than slots_ requests after slots_ was lowered below their number: these continue,
+    /// and no other request starts until a slot is free.
     std::unordered_map<std::uint64_t, RunningRequest> running_;
 
     std::vector<DroppedRequest> dropped_;
--- a/packages/qz_admission/tests/sharedrankstest.cpp
+++ b/packages/qz_admission/tests/sharedrankstest.cpp
@@ -86,7 +86,7 @@
     const TimePoint start = driver.clock_.now();
     for (int i = 0; i < 2000; ++i) {
         driver.offer({ 0 }).value();
-        driver.offer({ 2 }).value(); // Same kind, so it takes longer than expected.
+        driver.offer({ 2 }).value(); // Of the same kind, so its estimate is too short.
         const auto request = driver.queue_.startNext(driver.clock_.now()).value();
         const Duration time = request.rank_ == 2 ? 5 * serviceTime : serviceTime;
         used += request.rank_ == 2 ? time : Duration{};
--- a/packages/qz_gates/qz_gates.h
+++ b/packages/qz_gates/qz_gates.h
@@ -1,7 +1,7 @@
 // Package:      qz_gates
 // Purpose:      one gate per backend server, with its queue, slots and connections, and the
 //               messages by which entries and gates exchange requests.
-// Dependencies: qz_core, qz_http, qz_fleet, qz_rules, qz_admission, qz_health
+// Dependencies: qz_core, qz_http, qz_platform, qz_fleet, qz_rules, qz_admission, qz_health
 #pragma once
 
 #include "qz_gates/directory/backenddirectory.h"
