--- a/model/ejection.pml
+++ b/model/ejection.pml
@@ -2,7 +2,7 @@
  * Ejection of backend servers under a floor, by two deciders at the same moment.
  *
  * Both deciders hold the same service of SERVERS servers, of which SPARE may be out. Each reads
- * the ejection row (takeRow), plans a next row from it (eject, readmitReady,
+ * the ejection row (onRowRead), plans a next row from it (eject, readmitReady,
  * completeReadmissions, addWithdrawals) and writes it on condition of the version that it read.
  * Each write may be refused, may take effect and lose its answer, or may take effect at any
  * later moment or never; after each the row is read back. A gate per server acts on the row
@@ -132,7 +132,7 @@
     bool isEjecting, isOut, isSame;
 end:
     do
-    :: atomic { /* readBack, takeRow */
+    :: atomic { /* readBack, onRowRead */
             row.version < WRITES && next[i].version == 0 ->
 #ifdef STALE_ROW
             /* The floor is computed from the row of before, the write made under the new version. */
@@ -247,7 +247,7 @@
     :: atomic { /* setMembers */
             isDraining[0] && !known[i].isDraining[0] -> known[i].isDraining[0] = true
         }
-    :: atomic { /* takeReport */
+    :: atomic { /* onReport */
             select(s : 0 .. SERVERS - 1);
             if
             :: !isEjectedAtGate[s] && readmittingSince[i].server[s] > 0 && CONFIRMS(s) ->
@@ -259,14 +259,14 @@
     od
 }
 
-/* GateEjections::takeTold(), takeRead(): the version in force never falls. */
+/* GateEjections::onRowPushed(), onRowRead(): the version in force never falls. */
 proctype Gate(byte s)
 {
     byte k, out, toldVersion;
     bool isToldEjected;
 end:
     do
-    :: atomic { /* EjectionCallbacks::tellRow_, or a read; what is told may arrive late. */
+    :: atomic { /* EjectionCallbacks::pushRow_, or a read; what is told may arrive late. */
             row.version > gateVersion[s] && toldVersion == 0 ->
             toldVersion = row.version;
             isToldEjected = (row.phase[s] == EJECTED)
--- a/model/once.pml
+++ b/model/once.pml
@@ -217,7 +217,7 @@
     }
 }
 
-/* ClaimAttempt, then the sends under its grant, then ClaimClient::settle(). */
+/* ClaimAttempt, then the sends under its grant, then ClaimClient::reportResult(). */
 proctype Claim(byte i)
 {
     byte tries, k;
@@ -319,7 +319,7 @@
 
 undecided:
 notRun:
-    /* ClaimClient::settle(), or releaseDeadRowLater() after an undecided claim. */
+    /* ClaimClient::reportResult(), or scheduleRelease() after an undecided claim. */
     atomic { tellNotRun(); tries = 0; mayBeWritten = false; answer = refused }
 release:
     releaseRow();
